--- a/include/rudderloom/placement/demand.hpp
+++ b/include/rudderloom/placement/demand.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What requests ask for, over all entry nodes and smoothed over time.
+/// Request demand over all entry nodes, smoothed over time.
 #ifndef RUDDERLOOM_PLACEMENT_DEMAND_HPP
 #define RUDDERLOOM_PLACEMENT_DEMAND_HPP
 
@@ -19,73 +19,74 @@
 
 namespace rudderloom {
 
-/// @brief Requests of one node for one unit at one moment.
+/// @brief Requests of one node for one unit at one point in time.
 /// @ingroup placement
 struct UnitCount {
-  std::uint32_t running = 0;  ///< On an endpoint.
-  std::uint32_t waiting = 0;  ///< No endpoint can take them now.
-  /// @brief How long requests that came since the last count would take at an endpoint, together;
-  /// also those that were refused.
+  std::uint32_t running = 0;  ///< Running on an endpoint.
+  std::uint32_t waiting = 0;  ///< Waiting because no endpoint can accept them now.
+  /// @brief Total processing time at an endpoint of the requests that arrived since the last count,
+  /// including rejected ones.
   Duration offered{0};
   bool operator==(const UnitCount&) const = default;
 };
 
-/// @brief What one entry node runs and is asked for.
+/// @brief Load and demand reported by one entry node.
 /// @ingroup placement
 struct NodeCounts {
   std::string node;
   std::string incarnation;
   LoadTable loads;
   std::map<UnitName, UnitCount> units;
-  std::uint64_t serving_seen = 0;    ///< Version up to which the node knows what is served.
-  std::uint64_t routes_version = 0;  ///< Of the configuration in force at the node; 0 for none.
-  StoreRevision endpoints_seen;      ///< Up to which the node knows the endpoints.
-  /// @brief False: a node of an earlier version, which knows of no eras.
+  std::uint64_t serving_seen = 0;    ///< Serving list version known to the node.
+  std::uint64_t routes_version = 0;  ///< Version of the node's active configuration; 0 for none.
+  StoreRevision endpoints_seen;      ///< Revision of the endpoint list known to the node.
+  /// @brief False for a node of an earlier version, which has no eras.
   bool tells_era = true;
-  double processor_share = 1.0;  ///< Of one core, that the node may use.
-  std::string address;           ///< Where the node hears others.
+  double processor_share = 1.0;  ///< Fraction of one core available to the node.
+  std::string address;           ///< Address on which the node listens for peers.
   std::string availability_zone;
-  std::uint32_t stands_for = 1;             ///< Nodes whose counts these are, itself included.
-  std::vector<std::string> avoided_relays;  ///< Addresses that gave it no answer of use lately.
-  std::uint64_t report_number = 0;    ///< Rises with each report of a process; see `SpendingLog`.
-  SpendingTable spending;             ///< Since the last report.
-  CrashNews crash_news;               ///< Told for some seconds, then left out.
-  std::uint64_t quarantine_seen = 0;  ///< Version of the quarantine that the node knows.
-  SentLimits limits;                  ///< Of endpoints, observed lately.
-  std::uint64_t limits_seen = 0;      ///< Version of the table of limits that the node knows.
+  std::uint32_t stands_for = 1;  ///< Number of nodes covered by these counts, including itself.
+  std::vector<std::string> avoided_relays;  ///< Relays that recently gave no usable answer.
+  std::uint64_t report_number = 0;  ///< Increases with each report of a process; see `SpendingLog`.
+  SpendingTable spending;           ///< Spending since the last report.
+  CrashNews crash_news;             ///< Recent crashes; repeated for some seconds, then omitted.
+  std::uint64_t quarantine_seen = 0;  ///< Quarantine version known to the node.
+  SentLimits limits;                  ///< Endpoint limits observed recently.
+  std::uint64_t limits_seen = 0;      ///< Version of the limit table known to the node.
 };
 
-/// @brief Adds what was offered to a node, spent and seen to crash at it by its earlier counts to
-/// its newer ones, which are told in their place.
+/// @brief Merges the offered load, spending, crashes and limits from a node's earlier, unreported
+/// counts into its newer counts, which are reported instead.
 /// @ingroup placement
 void AddUntold(const NodeCounts& earlier, NodeCounts& newer);
 
-/// @brief True while counts that were heard at `heard_at` are taken to be so still.
+/// @brief Returns true while counts received at `heard_at` are considered current.
 /// @ingroup placement
 bool CountsFresh(TimePoint heard_at, TimePoint now);
 
-/// @brief A node that reports to this one, for itself or for a group.
+/// @brief A node that reports to this one, for itself or on behalf of a group.
 /// @ingroup placement
 struct ReportingNode {
   std::string name;
   std::string address;
   std::string availability_zone;
-  double processor_share = 1.0;  ///< Of one core, that the node may use.
-  std::uint32_t stands_for = 1;  ///< Nodes whose counts it tells, itself included.
+  double processor_share = 1.0;  ///< Fraction of one core available to the node.
+  std::uint32_t stands_for = 1;  ///< Number of nodes it reports for, including itself.
 };
 
 /// @brief Demand for one unit.
 /// @ingroup placement
 struct UnitDemand {
-  /// @brief Places that its requests take: the larger of what runs and waits, which rises quickly
-  /// and falls slowly, and of what was offered, foreseen for the time that a load takes.
+  /// @brief Number of slots its requests need. The maximum of the running and waiting requests,
+  /// smoothed to rise quickly and fall slowly, and of the offered load, extrapolated over the time
+  /// that a load takes.
   double pressure = 0.0;
   std::uint32_t waiting = 0;  ///< As last counted.
   std::uint32_t running = 0;  ///< As last counted.
-  TimePoint asked_at;         ///< When it was last asked for.
+  TimePoint asked_at;         ///< Time of the last request for it.
 };
 
-/// @brief Loads of all nodes together and of each, added up once for many readers.
+/// @brief Loads in total and by node, computed once for many readers.
 /// @ingroup placement
 struct LoadSums {
   LoadTable all;
@@ -94,34 +95,34 @@
   /// @brief Adds a node's loads.
   void Add(const std::string& node, std::shared_ptr<const LoadTable> loads);
 
-  /// @brief All but one node's.
+  /// @brief Returns the total without one node's loads.
   LoadTable Without(const std::string& node) const;
 };
 
-/// @brief Adds up the nodes' counts. Pure; time is passed in.
+/// @brief Aggregates the nodes' counts. Pure; time is passed in.
 /// @ingroup placement
 class DemandBoard {
  public:
-  /// @brief Takes a node's newest counts.
+  /// @brief Applies a node's newest counts.
   void Counted(const NodeCounts& counts, TimePoint now);
 
-  /// @brief Smooths; call often.
+  /// @brief Updates the smoothed demand. Call frequently.
   void Tick(TimePoint now);
 
-  /// @brief Demand for a unit; nothing when it was never asked for.
+  /// @brief Returns the demand for a unit; zero if it was never requested.
   UnitDemand Of(const UnitName& unit) const;
   const std::map<UnitName, UnitDemand>& Units() const { return units_; }
 
-  /// @brief Requests by endpoint over all nodes and of each, from counts that are fresh.
+  /// @brief Returns the requests by endpoint, in total and by node, from current counts.
   LoadSums Sums(TimePoint now) const;
 
-  /// @brief The nodes whose counts are fresh, without the one of this name.
-  std::vector<ReportingNode> Reporting(const std::string& but, TimePoint now) const;
+  /// @brief Returns the nodes with current counts, except the named one.
+  std::vector<ReportingNode> Reporting(const std::string& excluded_node, TimePoint now) const;
 
-  /// @brief Since when requests have been seen; empty before the first.
-  std::optional<TimePoint> FirstAsked() const { return first_asked_; }
+  /// @brief Time of the first request; empty before it.
+  std::optional<TimePoint> FirstRequestAt() const { return first_request_at_; }
 
-  /// @brief Nodes whose counts are fresh, told by themselves or by others for them.
+  /// @brief Number of nodes with current counts, reported by themselves or on their behalf.
   std::uint32_t Nodes(TimePoint now) const;
 
  private:
@@ -132,22 +133,22 @@
     TimePoint heard_at;
   };
 
-  // What a unit's demand is worked out from.
+  // Moving averages from which a unit's demand is computed.
   struct Smoothed {
-    double in_flight = 0.0;     // running or waiting
-    double offered_fast = 0.0;  // places that the requests of the last seconds take
-    double offered_slow = 0.0;  // the same over a longer time
-    Duration arrived{0};        // offered since the last tick
+    double in_flight = 0.0;     // requests running or waiting
+    double offered_fast = 0.0;  // slots needed by requests of the last seconds
+    double offered_slow = 0.0;  // the same over a longer period
+    Duration arrived{0};        // load offered since the last tick
   };
 
   static void Smooth(Smoothed& smoothed, double in_flight, double seconds);
-  static double Foreseen(const Smoothed& smoothed, double known_for);
+  static double Extrapolate(const Smoothed& smoothed, double observed_seconds);
 
   std::map<std::string, Node> nodes_;
   std::map<UnitName, UnitDemand> units_;
   std::map<UnitName, Smoothed> smoothed_;
   TimePoint smoothed_at_;
-  std::optional<TimePoint> first_asked_;
+  std::optional<TimePoint> first_request_at_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/placement/engine_state.hpp
+++ b/include/rudderloom/placement/engine_state.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the holder of the lease knows of one model engine, from its reports and its answers to
-/// orders. Pure; time is passed in.
+/// The lease holder's view of one model engine, from its reports and its answers to orders. Pure;
+/// time is passed in.
 #ifndef RUDDERLOOM_PLACEMENT_ENGINE_STATE_HPP
 #define RUDDERLOOM_PLACEMENT_ENGINE_STATE_HPP
 
@@ -16,7 +16,7 @@
 
 namespace rudderloom {
 
-/// @brief How long a model's load takes, by where its weights come from.
+/// @brief Load times of a model, by the location of its weights.
 /// @ingroup placement
 struct LoadTimes {
   Duration from_memory{1'000};
@@ -24,85 +24,86 @@
   Duration from_store{4'000};
 };
 
-/// @brief One model is to make way for another.
+/// @brief A planned replacement of one model by another.
 /// @ingroup placement
 struct ModelSwap {
   std::string victim;
-  std::string newcomer;
-  TimePoint ready_at;  ///< When no request for the victim is on its way any more.
+  std::string replacement;
+  TimePoint ready_at;  ///< Time from which no request for the victim is in transit.
 };
 
-/// @brief One engine. Methods that return a bool say whether what it may serve has changed.
+/// @brief State of one engine. Methods that return a bool report whether the set of models it may
+/// serve has changed, unless stated otherwise.
 /// @ingroup placement
 struct EngineState {
-  std::string id;  ///< Name that the endpoint answers to.
+  std::string id;  ///< Endpoint name; stays the same across restarts.
   std::uint64_t born = 0;
   std::string address;
-  bool known = false;                ///< A report came since the lease was taken.
-  bool doubtful = false;             ///< An order's fate is unknown, or the count of orders is.
-  bool awaits_announcement = false;  ///< An order waits until the lease's record names it.
+  bool known = false;                ///< A report has arrived since the lease was acquired.
+  bool uncertain = false;            ///< An order's outcome or the order count is unknown.
+  bool awaits_announcement = false;  ///< An order waits until the lease record lists this endpoint.
   bool silent = false;               ///< The last report call returned no report.
   bool busy = false;
   std::uint64_t orders_taken = 0;
   std::vector<ResidentModel> models;
   LocalWeights local_weights;
-  std::set<std::string> pending_adapters;    ///< `model/adapter`.
-  std::optional<PlacementOrder> flight;      ///< Sent, no answer yet.
-  std::optional<PlacementOrder> running;     ///< Accepted, its end not yet seen.
-  std::optional<PlacementOrder> unanswered;  ///< The last order, until its outcome is known.
-  TimePoint running_ends_at;                 ///< Expected end of `running`.
-  TimePoint order_at;                        ///< When the last order was sent or answered.
+  std::set<std::string> pending_adapters;       ///< `model/adapter`.
+  std::optional<PlacementOrder> sent_order;     ///< The order sent last, until it is answered.
+  std::optional<PlacementOrder> running_order;  ///< Accepted order, until reported complete.
+  std::optional<PlacementOrder> unanswered;     ///< The last order, until its outcome is known.
+  TimePoint running_ends_at;                    ///< Expected end of `running_order`.
+  TimePoint order_at;                           ///< When the last order was sent or answered.
   std::optional<ModelSwap> swap;
-  TimePoint ask_at;  ///< When to ask for the next report.
-  bool asking = false;
-  std::map<std::string, TimePoint> adapter_loaded;  ///< `model/adapter`: when.
+  TimePoint next_report_at;  ///< When to request the next report.
+  bool report_requested = false;
+  std::map<std::string, TimePoint> adapter_loaded;  ///< Load time by `model/adapter`.
 
-  /// @brief An engine of the platform's list that was not known before.
+  /// @brief Creates the state of an engine newly listed by the platform.
   static EngineState FromRecord(const EndpointRecord& record, TimePoint now);
 
-  /// @brief Takes a report; empty when the engine gave none.
-  bool TakeReport(const std::optional<EngineReport>& report, TimePoint now);
+  /// @brief Applies a report; empty if the engine returned none.
+  bool ApplyReport(const std::optional<EngineReport>& report, TimePoint now);
 
-  /// @brief Notes an order that is being sent.
+  /// @brief Records an order that is being sent.
   void OrderSent(const PlacementOrder& order, TimePoint now);
 
-  /// @brief Takes an order's outcome.
-  /// @param times Of the order's model.
+  /// @brief Applies an order's outcome.
+  /// @param times Load times of the order's model.
   bool OrderEnded(const PlacementOrder& order,
                   PlacementOutcome outcome,
                   const LoadTimes& times,
                   TimePoint now);
 
-  /// @brief Takes adapters into use whose loads should be over.
-  bool TakeAdapters(TimePoint now);
+  /// @brief Marks adapters as available once their loads should have finished.
+  bool MarkLoadedAdapters(TimePoint now);
 
-  /// @brief True when it holds the model.
+  /// @brief True if the engine holds the model.
   bool Holds(const std::string& model) const { return FindModel(models, model) != nullptr; }
 
-  /// @brief True when its state is certain and nothing is under way.
-  bool Certain() const { return known && !doubtful && !flight && !busy; }
+  /// @brief True if the engine's state is certain and no order is in progress.
+  bool Certain() const { return known && !uncertain && !sent_order && !busy; }
 
-  /// @brief The engine as the planner sees it.
-  /// @param resting A former holder may have ordered it a short while ago.
-  PlanEngine View(const std::string& instance, const EngineSpec& spec, bool resting) const;
+  /// @brief Returns the engine's state as planner input.
+  /// @param blocked True if a former holder may recently have sent orders to the engine.
+  PlanEngine ToPlanEngine(const std::string& instance, const EngineSpec& spec, bool blocked) const;
 
-  /// @brief When it is expected to accept another order.
+  /// @brief Returns when the engine is expected to accept another order.
   TimePoint NextOrderAt(TimePoint now) const;
 
-  /// @brief When the load of a model is expected to end; empty if none is ordered or planned.
-  /// @param times Of the model.
+  /// @brief Returns the expected end of a model's load; empty if none is ordered or planned.
+  /// @param times Load times of the model.
   std::optional<TimePoint> LoadEndsAt(const std::string& model,
                                       const LoadTimes& times,
                                       TimePoint now) const;
 
-  /// @brief Models with a load that is under way, has an unknown outcome, or is planned by a swap.
+  /// @brief Models whose load is in progress, has an unknown outcome, or is planned by a swap.
   std::set<std::string> IncomingModels() const;
 
-  /// @brief Models that requests may be sent for: none that is about to go.
+  /// @brief Models that requests may be routed to, without those about to be unloaded.
   std::vector<ResidentModel> Serving() const;
 
  private:
-  bool Carried(const PlacementOrder& order);
+  bool ApplyOrder(const PlacementOrder& order);
   Duration ExpectedLoadTime(const std::string& model, const LoadTimes& times) const;
 };
 
--- a/include/rudderloom/placement/lease_keeper.hpp
+++ b/include/rudderloom/placement/lease_keeper.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The lease that one entry node at a time holds on ordering endpoints. Kept in the platform.
+/// The lease, stored in the platform, that lets one entry node at a time send orders to endpoints.
 #ifndef RUDDERLOOM_PLACEMENT_LEASE_KEEPER_HPP
 #define RUDDERLOOM_PLACEMENT_LEASE_KEEPER_HPP
 
@@ -18,193 +18,199 @@
 
 namespace rudderloom {
 
-/// @brief Who held the lease before, and may have started loads.
+/// @brief The previous holder of the lease, which may have started loads.
 /// @ingroup placement
 enum class FormerHolder {
   kNone,
-  kThisProcess,  ///< Under the same epoch: its own starts are known.
-  kThisNode,     ///< An earlier process, whose last orders may have been sent just now.
-  kOtherNode,    ///< Its last orders are older than the lease bound.
+  kThisProcess,  ///< This process itself; the loads it started are known.
+  kThisNode,     ///< An earlier process on this machine, which may have sent orders very recently.
+  kOtherNode,    ///< Another machine; its last orders are older than the lease bound.
 };
 
-/// @brief What a new holder has to know of the one before.
+/// @brief Information about the previous lease that a new holder needs.
 /// @ingroup placement
 struct FormerLease {
   FormerHolder who = FormerHolder::kNone;
-  OrderScopes own;                ///< Of an earlier process on this machine.
-  OrderScopes inherited;          ///< Of other machines: not to be ordered before `rest` is over.
-  bool inherited_all = false;     ///< The same for all endpoints: nobody knows which they ordered.
-  LowBalances low_balances = {};  ///< As of its last write.
-  std::set<RequestDigest> quarantined = {};  ///< As of its last write.
+  OrderScopes own;        ///< Announced by an earlier process on this machine.
+  OrderScopes inherited;  ///< Announced by other machines; no orders are sent to these endpoints
+                          ///< until `rest` has passed.
+  bool inherited_all = false;     ///< The same for all endpoints, if the announcements are lost.
+  LowBalances low_balances = {};  ///< At the time of its last write.
+  std::set<RequestDigest> quarantined = {};  ///< At the time of its last write.
   Duration rest{0};
 };
 
-/// @brief What a process knows of the lease when it starts.
+/// @brief What a process knows about the lease when it starts.
 /// @ingroup placement
 enum class LeaseStart {
-  kFirst,    ///< The whole system starts for the first time: nobody has held it.
-  kUnknown,  ///< Somebody may have held it.
+  kFirst,    ///< First start of the whole system: the lease has never been held.
+  kUnknown,  ///< The lease may have been held before.
 };
 
-/// @brief A conditional write of the record.
+/// @brief A conditional write of the lease record.
 /// @ingroup placement
 struct LeaseWrite {
   LeaseRecord record;
-  StoreRevision version;  ///< That the platform must have; without a number, to create it.
+  StoreRevision version;  ///< Required current revision; without a number, creates the record.
 };
 
-/// @brief How long a node lets others take the lease before it does. A holder plans for the whole
-/// fleet and answers all nodes, which costs several times what other nodes need for control: with
-/// the lease on 0.12 of a core beside 86 nodes, that node took a configuration 5.4 s late.
-/// @param processor_share Of one core, that the node may use.
+/// @brief Returns how long a node waits for others to take a free lease first. A holder plans for
+/// the whole fleet and answers all nodes, which costs several times the control work of other
+/// nodes: with the lease on 0.12 of a core in a fleet of 87 nodes, that node applied a
+/// configuration 5.4 s late.
+/// @param processor_share Fraction of one core available to the node.
 /// @ingroup placement
 Duration YieldTime(double processor_share);
 
-/// @brief Takes, renews and gives up the lease. Pure: no I/O, and time is passed in.
+/// @brief Acquires, renews and releases the lease. Pure: no I/O, and time is passed in.
 ///
-/// No clocks are compared between processes. The holder counts its time from the start of its last
-/// write that took effect, and sends orders only to endpoints that this write named. Others take
-/// over once a fresh read shows that the holder has not renewed in time; they write on condition of
-/// the version that they saw, so that a renewal in the meantime makes them fail. The endpoints that
-/// the former holder named must then rest until its time and the lease bound are over; whatever it
-/// did not name may be ordered at once.
+/// No clocks are compared between processes. The holder measures the lease from the start of its
+/// last successful write, and sends orders only to endpoints listed in that write. Another node
+/// takes over once a fresh read shows that the holder has not renewed in time. It writes on
+/// condition of the revision it read, so the write fails if the holder has renewed in the meantime.
+/// Endpoints listed by the former holder receive no orders until its lease and then the lease bound
+/// have expired; all others may receive orders at once.
 ///
-/// A store that comes back from an older copy has lost renewals, announcements and whole terms of
-/// holders, which go on until their time is over. So in a new era
-/// - a holder whose time isn't over takes the lease anew at once, with a token of that era, and
-///   keeps off all endpoints but those that it had announced itself;
-/// - everybody else waits until the time of whoever may have held it is over, and then keeps off
-///   all endpoints.
-/// Tokens begin with the era, so that none is given out twice, whoever knew the last one.
+/// A store restored from an older copy has lost renewals, announcements and whole terms of holders,
+/// whose leases remain valid until they expire. Therefore, in a new era:
+/// - a holder whose lease is still valid reacquires it at once, with a token of the new era, and
+///   sends orders only to endpoints that it had announced itself;
+/// - every other node waits until any lease that may exist has expired, and then sends no orders to
+///   any endpoint until `FormerLease::rest` has passed.
+/// The upper bits of a token are the era, so no token is issued twice even if the last one was
+/// lost.
 /// @ingroup placement
 class LeaseKeeper {
  public:
-  /// @param bound The least time between orders of two holders.
-  /// @param yield How long this node lets others take a free lease first.
-  /// @param start At the first start of the whole system there was no holder whose record the store
-  /// may have lost.
+  /// @param bound Minimum time between orders of two holders.
+  /// @param yield How long this node waits for others to take a free lease first.
+  /// @param start At the first start of the whole system, no previous holder's record can have been
+  /// lost.
   LeaseKeeper(std::string address,
               std::string incarnation,
               Duration bound,
               Duration yield = Duration(0),
               LeaseStart start = LeaseStart::kUnknown);
 
-  /// @brief The object as read; an empty record when there is none.
-  /// @param version Without a record, the store's era alone.
-  /// @param fresh False when the read may be seconds old.
-  /// @return False when the record is older than one that this process knows: it is passed over.
+  /// @brief Applies a read of the lease object; an empty record if there is none.
+  /// @param version Revision of the object; without a record, only the store's era.
+  /// @param fresh False if the data read may be seconds old.
+  /// @return False if the record is older than one this process knows; it is then ignored.
   bool Seen(const std::optional<LeaseRecord>& record,
             const StoreRevision& version,
             bool fresh,
             TimePoint now);
 
-  /// @brief The object could not be read: how long a version has stood is not known any more.
+  /// @brief Notes that the object could not be read, so how long its revision has been unchanged is
+  /// no longer known.
   void Unread(TimePoint now);
 
-  /// @brief What the record must name from now on; an addition is written at once.
+  /// @brief Sets the endpoints that the record must list; additions are written at once.
   void Announce(OrderScopes own, OrderScopes inherited, bool inherited_all = false);
 
-  /// @brief What the next write is to tell of customers' balances; no reason for a write.
+  /// @brief Sets the customer balances to include in the next write; does not trigger a write.
   void NoteBalances(LowBalances low) { low_balances_ = std::move(low); }
 
-  /// @brief What the record must tell of requests in quarantine; an addition is written at once.
+  /// @brief Sets the quarantined requests that the record must list; additions are written at once.
   void NoteQuarantined(std::set<RequestDigest> quarantined) {
     quarantined_ = std::move(quarantined);
   }
 
-  /// @brief Lets others go first for so long, beyond what the node's processor time makes it yield.
-  void YieldFor(Duration more) { more_yield_ = more; }
+  /// @brief Sets an additional delay before taking the lease, on top of the yield time that follows
+  /// from the node's processor share.
+  void YieldFor(Duration extra) { extra_yield_ = extra; }
 
-  /// @brief Endpoints that this holder may send orders to.
+  /// @brief Returns the endpoints to which this holder may send orders.
   OrderScopes Announced() const;
 
-  /// @brief The write to make now, if any; one at a time.
+  /// @brief Returns the write to make now, if any; at most one is in progress.
   std::optional<LeaseWrite> NextWrite(TimePoint now);
 
-  /// @brief The write took effect and gave this version.
+  /// @brief Notes that the write succeeded and produced this revision.
   void Written(const StoreRevision& version, TimePoint now);
 
-  /// @brief The write failed, or nobody knows: the object must be read again.
+  /// @brief Notes that the write failed or its result is unknown; the object must be read again.
   void WriteFailed();
 
-  /// @brief True once the object, or that there is none, has been seen.
+  /// @brief True once the object has been read or found absent.
   bool Known() const { return version_.has_value(); }
 
-  /// @brief True when the object must be read freshly before anything else.
-  bool NeedsRead() const { return needs_read_ || (Suspects() && !Confirmed()); }
+  /// @brief True if a fresh read of the object is required before any other step.
+  bool NeedsRead() const { return needs_read_ || (LooksAvailable() && !AvailabilityConfirmed()); }
 
-  /// @brief Gives the lease up with the next write and takes it no more.
+  /// @brief Releases the lease with the next write and never acquires it again.
   void Stop() { stopping_ = true; }
 
-  /// @brief Gives the lease up with the next write, if it is held. This process may take it again.
+  /// @brief Releases the lease, if held, with the next write. This process may acquire it again.
   void HandOver() { handing_over_ = holding_; }
 
   /// @brief True while this process may send orders.
-  bool Holds(TimePoint now) const { return !GivesUp() && holding_ && now < valid_until_; }
+  bool Holds(TimePoint now) const { return !IsReleasing() && holding_ && now < valid_until_; }
 
-  /// @brief True when this process holds the lease and has not been able to renew it in time: it
-  /// may be cut off from the platform, and others should look.
+  /// @brief True if this process holds the lease but has failed to renew it on schedule. It may be
+  /// cut off from the platform, and other nodes should check the lease.
   bool RenewalsFail(TimePoint now) const;
   TimePoint ValidUntil() const { return valid_until_; }
   std::uint64_t Epoch() const { return record_.epoch; }
 
-  /// @brief Who held the lease before this process took it.
+  /// @brief The previous lease, before this process acquired it.
   const FormerLease& Former() const { return former_; }
 
-  /// @brief The last known holder; empty when there is none.
+  /// @brief Address of the last known holder; empty if there is none.
   const std::string& HolderAddress() const { return record_.holder; }
 
-  /// @brief True after a stop or a handover once nothing is held any more.
-  bool Released() const { return !holding_ && !writing_; }
+  /// @brief True once the lease is not held and no write is in progress.
+  bool Released() const { return !holding_ && !pending_write_; }
 
  private:
-  bool IsMine(const LeaseRecord& record) const;
-  bool IsLate(const std::optional<LeaseRecord>& record,
-              const StoreRevision& version,
-              bool fresh) const;
-  // A stale read found no object where this process knows of one, or of nothing yet.
-  void MissedByStaleRead(const StoreRevision& version, TimePoint now);
-  void Take(const LeaseRecord& record, bool changed_in_era);
-  // What was written may be gone: takes what is left of the record.
-  void TakeCopy(const LeaseRecord& record);
-  // How long the record must stand still before another node takes the lease.
-  Duration Patience() const;
-  // The first write of a holder whose lease may be gone from the store.
-  LeaseWrite TakeAnew();
+  bool IsOwnRecord(const LeaseRecord& record) const;
+  bool IsOutdated(const std::optional<LeaseRecord>& record,
+                  const StoreRevision& version,
+                  bool fresh) const;
+  // Handles a stale read that found no object, when this process knows of one or has read nothing
+  // yet.
+  void HandleStaleMiss(const StoreRevision& version, TimePoint now);
+  void ApplyRecord(const LeaseRecord& record, bool changed_in_era);
+  // Applies a record from which later writes may have been lost.
+  void ApplyOldRecord(const LeaseRecord& record);
+  // How long the record must remain unchanged before another node takes the lease.
+  Duration TakeoverDelay() const;
+  // The first write of a holder whose lease may be missing from the restored store.
+  LeaseWrite Reacquire();
   LeaseWrite TakeOver();
   LeaseWrite Renewal() const;
   std::uint64_t NextEpoch() const;
-  bool GivesUp() const { return stopping_ || handing_over_; }
+  bool IsReleasing() const { return stopping_ || handing_over_; }
   bool IsFree() const;
-  // The lease is free, or its holder has not renewed it in time, as far as this node has seen.
-  bool Suspects() const;
-  // A fresh read has shown so as well.
-  bool Confirmed() const;
+  // True if the lease is free or its holder has not renewed it in time, judging by all reads.
+  bool LooksAvailable() const;
+  // True if a fresh read has confirmed this.
+  bool AvailabilityConfirmed() const;
   bool MustWrite(TimePoint now) const;
-  // Nobody holds it, and nodes that should come first have had their time.
-  bool FreeForThisNode(TimePoint now) const;
-  FormerLease FormerOf(const LeaseRecord& record) const;
+  // True once nodes with precedence have had time to take a free lease.
+  bool YieldElapsed(TimePoint now) const;
+  FormerLease FormerLeaseOf(const LeaseRecord& record) const;
 
   std::string address_;
   std::string incarnation_;
   Duration valid_for_;
   Duration renew_every_;
-  Duration suspect_after_;
-  Duration lost_after_;  // the same where the lease of an unknown holder may be gone
+  Duration renewal_timeout_;
+  Duration lost_record_timeout_;  // takeover timeout if the record of an unknown holder may be lost
   Duration bound_;
   Duration yield_;
-  Duration more_yield_{0};
-
-  LeaseRecord record_;                    // the newest that is known, also if the store has lost it
-  std::optional<StoreRevision> version_;  // empty: never read
-  bool version_certain_ = false;          // read freshly or written, not from a stale read
-  // The record is from an older copy of the store, or was written by a program that can't tell:
-  // what has been written since may be gone.
-  bool may_lack_ = false;
-  bool store_is_new_;  // nothing can have been lost: no call has failed since the first start
+  Duration extra_yield_{0};
+
+  LeaseRecord record_;                    // the newest known, even if the store has lost it
+  std::optional<StoreRevision> version_;  // empty until first read
+  bool version_certain_ = false;          // from a fresh read or a write, not a stale read
+  // The record is from an older copy of the store, or was written by a program without eras, so
+  // later writes may be lost.
+  bool writes_may_be_lost_ = false;
+  bool store_is_new_;  // nothing can have been lost: no read has failed since the first start
   TimePoint first_seen_;
-  TimePoint last_seen_;      // when any read last showed this version
-  TimePoint read_fresh_at_;  // when a fresh read last showed this version
+  TimePoint last_seen_;      // when any read last returned this revision
+  TimePoint read_fresh_at_;  // when a fresh read last returned this revision
   bool needs_read_ = true;
   bool holding_ = false;
   bool stopping_ = false;
@@ -217,8 +223,8 @@
   LowBalances low_balances_;
   std::set<RequestDigest> quarantined_;
   TimePoint write_started_at_;
-  std::optional<LeaseWrite> writing_;
-  std::map<std::uint64_t, TimePoint> write_starts_;  // by renewals, of the present epoch
+  std::optional<LeaseWrite> pending_write_;
+  std::map<std::uint64_t, TimePoint> write_starts_;  // by renewal count, in the current epoch
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/placement/lease_record.hpp
+++ b/include/rudderloom/placement/lease_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the platform keeps of the lease on ordering endpoints.
+/// The stored record of the placement lease, which permits its holder to send orders to endpoints.
 #ifndef RUDDERLOOM_PLACEMENT_LEASE_RECORD_HPP
 #define RUDDERLOOM_PLACEMENT_LEASE_RECORD_HPP
 
@@ -16,29 +16,30 @@
 
 namespace rudderloom {
 
-/// @brief Balances of customers that have spent most of what they may be ahead.
+/// @brief Balances of customers that have used most of their permitted overspend.
 /// @ingroup placement
 using LowBalances = std::map<CustomerKey, std::int64_t>;
 
-/// @brief What the platform keeps of the lease.
+/// @brief The lease record stored in the platform.
 /// @ingroup placement
 struct LeaseRecord {
-  std::string holder;       ///< Address where the holder hears its peers; names the machine.
-  std::string incarnation;  ///< Of the holder's process.
-  std::uint64_t epoch = 0;  ///< Grows with each new holder; the fencing token of its orders.
+  std::string holder;  ///< Address on which the holder listens for peers; identifies the machine.
+  std::string incarnation;  ///< Identifies the holder's process.
+  std::uint64_t epoch = 0;  ///< Increases with each new holder; the fencing token of its orders.
   std::uint64_t renewals = 0;
-  bool released = false;          ///< The holder stopped and sends no order any more.
-  OrderScopes own;                ///< The holder sends orders to these endpoints only.
-  OrderScopes inherited;          ///< Former holders may have ordered these a short while ago.
-  LowBalances low_balances = {};  ///< As of this write.
-  /// @brief Requests that are sent to no endpoint, for a holder that has heard of none.
+  bool released = false;  ///< The holder has released the lease and sends no more orders.
+  OrderScopes own;        ///< The only endpoints that the holder sends orders to.
+  OrderScopes inherited;  ///< Endpoints to which former holders may recently have sent orders.
+  LowBalances low_balances = {};  ///< At the time of this write.
+  /// @brief Quarantined requests, which are sent to no endpoint; read by a new holder that has not
+  /// been told of any.
   std::set<RequestDigest> quarantined = {};
-  /// @brief Of the store, as the holder knew it when it wrote this. Another one than the store's
-  /// own tells that the record comes from an older copy. Nothing: written by an earlier version of
-  /// this program, which knows of no eras.
+  /// @brief Era of the store when the holder wrote this record. If it differs from the store's
+  /// current era, the record comes from an older copy. Empty if written by an earlier version of
+  /// this program, which has no eras.
   std::optional<std::uint64_t> era = {};
-  /// @brief Former holders may have ordered any endpoint a short while ago: what they announced is
-  /// lost.
+  /// @brief True if former holders may recently have sent orders to any endpoint, because their
+  /// announcements were lost.
   bool inherited_all = false;
   bool operator==(const LeaseRecord&) const = default;
 };
--- a/include/rudderloom/placement/limited_engines.hpp
+++ b/include/rudderloom/placement/limited_engines.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Placement beside engines that accept only few requests a second.
+/// Placement with engines that accept only a few requests per second.
 #ifndef RUDDERLOOM_PLACEMENT_LIMITED_ENGINES_HPP
 #define RUDDERLOOM_PLACEMENT_LIMITED_ENGINES_HPP
 
@@ -9,11 +9,12 @@
 
 namespace rudderloom {
 
-/// @brief Has the models of such engines loaded elsewhere, and nothing there, unless all engines
-/// are like that. What is ordered there would take reports as well, which may count as requests.
-/// @param slots Of each engine.
+/// @brief Excludes rate-limited engines from the plan, so that their models are loaded elsewhere
+/// and nothing is loaded on them, unless all engines are rate-limited. Orders to them would also
+/// need reports, which may count as requests.
+/// @param slots Number of request slots of each engine.
 /// @ingroup placement
-void LeaveLimitedOut(std::vector<PlanEngine>& engines, std::uint32_t slots);
+void ExcludeLimitedEngines(std::vector<PlanEngine>& engines, std::uint32_t slots);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/placement/load_pacer.hpp
+++ b/include/rudderloom/placement/load_pacer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Keeps starts of loads from the weight store under the deployment's ceiling.
+/// Limits the rate of loads from the weight store to the deployment's maximum.
 #ifndef RUDDERLOOM_PLACEMENT_LOAD_PACER_HPP
 #define RUDDERLOOM_PLACEMENT_LOAD_PACER_HPP
 
@@ -9,24 +9,25 @@
 
 namespace rudderloom {
 
-/// @brief What a load is for.
+/// @brief Purpose of a load.
 /// @ingroup placement
 enum class LoadClass {
-  kAskedFor,  ///< Requests ask for the model now.
-  kInCase,    ///< Nobody does: such loads leave a part of the window to the others.
+  kRequested,    ///< The model is being requested now.
+  kSpeculative,  ///< It is not being requested; such loads may use only part of the window.
 };
 
-/// @brief Counts starts of loads in a sliding window. Pure; time is passed in.
-/// A load whose order was not answered may start later, so it is counted again until it is settled.
+/// @brief Counts load starts in a sliding window. Pure; time is passed in. A load whose order was
+/// not answered may start later, so it is counted again until its outcome is known.
 /// @ingroup placement
 class LoadPacer {
  public:
   LoadPacer(Duration window, double overshoot) : window_(window), overshoot_(overshoot) {}
 
-  /// @brief Counts starts that a former holder may have made.
+  /// @brief Counts load starts that a former holder may have made.
   void AssumeStarted(std::size_t count, TimePoint at);
 
-  /// @brief True when one more load may start now, beside `pending` that are to start soon.
+  /// @brief Returns true if one more load may start now, in addition to `pending` loads that are
+  /// about to start.
   bool MayStart(double loads_per_second,
                 std::size_t pending,
                 LoadClass load_class,
--- a/include/rudderloom/placement/order.hpp
+++ b/include/rudderloom/placement/order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders that change what a model engine holds, and what its answer says.
+/// Orders to load or unload models and adapters, and their outcomes.
 #ifndef RUDDERLOOM_PLACEMENT_ORDER_HPP
 #define RUDDERLOOM_PLACEMENT_ORDER_HPP
 
@@ -11,35 +11,35 @@
 
 namespace rudderloom {
 
-/// @brief One order to one endpoint.
+/// @brief A load or unload order for one endpoint.
 /// @ingroup placement
 struct PlacementOrder {
-  std::string instance;  ///< Life of the endpoint.
-  std::string id;        ///< Name that the endpoint answers to.
+  std::string instance;  ///< Endpoint instance; changes when the endpoint restarts.
+  std::string id;        ///< Endpoint name; stays the same across restarts.
   std::string address;
-  bool load = true;  ///< Else unload.
+  bool load = true;  ///< True to load, false to unload.
   std::string model;
-  std::string adapter;         ///< Of the model; empty for the model itself.
-  std::uint64_t expected = 0;  ///< Orders the endpoint must have taken so far.
+  std::string adapter;         ///< Adapter of the model; empty for the model itself.
+  std::uint64_t expected = 0;  ///< Number of orders the endpoint must have accepted so far.
   std::string holder;          ///< Node that holds the lease.
   std::uint64_t token = 0;     ///< Fencing token: the lease's epoch.
-  TimePoint valid_until;       ///< Not to be sent later, when the lease may have passed on.
+  TimePoint valid_until;       ///< Not sent after this time: another node may hold the lease.
 };
 
-/// @brief What the endpoint answered.
+/// @brief Outcome of an order.
 /// @ingroup placement
 enum class PlacementOutcome {
-  kAccepted,      ///< It is being done.
-  kHoldsAlready,  ///< There was nothing to do, or it was done at once.
-  kConflict,      ///< Another order is under way, or other orders came first.
-  kFenced,        ///< A later holder has sent orders.
-  kRefused,       ///< The order makes no sense, or another endpoint has the address.
-  kNotSent,       ///< No byte left this process: there was no way to the endpoint.
-  kLapsed,        ///< Not sent: the lease's time was over before its turn came.
-  kUnknown,       ///< No answer: it may take effect now, seconds later, or never.
+  kAccepted,      ///< The endpoint is carrying out the order.
+  kHoldsAlready,  ///< Nothing to do, or completed immediately.
+  kConflict,      ///< Another order is in progress, or the order count does not match.
+  kFenced,        ///< The endpoint has seen a newer fencing token.
+  kRefused,       ///< The order is invalid, or the address belongs to another endpoint.
+  kNotSent,       ///< No bytes were sent: the endpoint was unreachable.
+  kLapsed,        ///< Not sent: the lease expired before the order could be sent.
+  kUnknown,       ///< No answer: the order may take effect now, seconds later, or never.
 };
 
-/// @brief Name of an outcome, as counters and logs show it.
+/// @brief Returns the outcome's name as used in metrics and logs.
 /// @ingroup placement
 std::string_view NameOf(PlacementOutcome outcome);
 
--- a/include/rudderloom/placement/order_announcements.hpp
+++ b/include/rudderloom/placement/order_announcements.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Says in advance which endpoints this holder of the lease may order, and keeps off those that a
-/// former holder may just have ordered. See docs/design/placement.md.
+/// Announces the endpoints that this lease holder may send orders to, and blocks orders to
+/// endpoints that a former holder may recently have sent orders to. See docs/design/placement.md.
 #ifndef RUDDERLOOM_PLACEMENT_ORDER_ANNOUNCEMENTS_HPP
 #define RUDDERLOOM_PLACEMENT_ORDER_ANNOUNCEMENTS_HPP
 
@@ -14,43 +14,44 @@
 
 namespace rudderloom {
 
-/// @brief Keeps which endpoints must stand in the lease's record. Pure; time is passed in.
+/// @brief Tracks the endpoints that the lease record must list. Pure; time is passed in.
 ///
-/// An order may be sent only to an endpoint that the record names. So whoever takes the lease over
-/// knows which endpoints its predecessor may have ordered, or may order yet; all others it may
-/// order at once.
+/// An order may be sent only to an endpoint listed in the record. A new holder therefore knows
+/// which endpoints may have received, or may still receive, orders from its predecessor; it may
+/// send orders to all others at once.
 /// @ingroup placement
 class OrderAnnouncements {
  public:
-  /// @param lease_bound The least time between orders of two holders to one endpoint.
-  /// @param load_window In which starts of loads are counted.
+  /// @param lease_bound Minimum time between orders of two holders to one endpoint.
+  /// @param load_window Sliding window in which load starts are counted.
   OrderAnnouncements(Duration lease_bound, Duration load_window);
 
-  /// @brief The lease was taken from `former`. Where this process goes on under a new token, it
-  /// keeps what it has ordered itself.
+  /// @brief Initializes the announcements after the lease was acquired from `former`. If this
+  /// process continues under a new token, its own announcements are kept.
   void Reset(const FormerLease& former, TimePoint now);
 
-  /// @brief True when an order may be sent now. Where only the announcement is missing, it is asked
-  /// for, and a later call says yes.
+  /// @brief Returns true if an order may be sent now. If only the announcement is missing, requests
+  /// it; a later call then returns true.
   bool MayOrder(const std::string& instance,
                 OrderScope scope,
                 const OrderScopes& announced,
                 TimePoint now);
 
-  /// @brief An order was sent.
+  /// @brief Records that an order was sent.
   void Ordered(const std::string& instance, OrderScope scope, TimePoint now);
 
-  /// @brief True while a former holder's orders to the endpoint are too recent.
-  bool Resting(const std::string& instance, TimePoint now) const;
+  /// @brief True while former holders' orders to the endpoint may be too recent to send new ones.
+  bool IsBlocked(const std::string& instance, TimePoint now) const;
 
-  /// @brief What the record must name as this holder's own.
+  /// @brief Endpoints that the record must list as this holder's own.
   OrderScopes Own(TimePoint now) const;
 
-  /// @brief What the record must name as former holders'.
+  /// @brief Endpoints that the record must list as inherited from former holders.
   OrderScopes Inherited(TimePoint now) const;
 
-  /// @brief True while the record must say that former holders may have ordered any endpoint.
-  bool InheritedAll(TimePoint now) const { return now < others_rest_until_; }
+  /// @brief True while the record must state that former holders may have sent orders to any
+  /// endpoint.
+  bool InheritedAll(TimePoint now) const { return now < others_blocked_until_; }
 
  private:
   struct Entry {
@@ -59,8 +60,8 @@
   };
   using Entries = std::map<std::string, Entry>;
 
-  Duration KeepFor(OrderScope scope) const;
-  void RestOthers(const FormerLease& former, TimePoint now);
+  Duration RetentionTime(OrderScope scope) const;
+  void BlockOtherEndpoints(const FormerLease& former, TimePoint now);
   static void Extend(Entries& entries,
                      const std::string& instance,
                      OrderScope scope,
@@ -69,13 +70,13 @@
 
   Duration lease_bound_;
   Duration load_window_;
-  Entries ordered_;    // lately
-  Entries wished_;     // to be ordered soon
-  Entries inherited_;  // of former holders
-  // Until then all endpoints rest that are not in `own_of_rest_`: what former holders announced is
-  // lost.
-  TimePoint others_rest_until_;
-  std::set<std::string> own_of_rest_;
+  Entries ordered_;    // recently received orders
+  Entries requested_;  // announcement requested
+  Entries inherited_;  // from former holders
+  // Until this time no orders are sent to endpoints outside `unblocked_endpoints_`, because the
+  // announcements of former holders were lost.
+  TimePoint others_blocked_until_;
+  std::set<std::string> unblocked_endpoints_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/placement/order_scope.hpp
+++ b/include/rudderloom/placement/order_scope.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Which endpoints a holder of the placement lease may send orders to, as the lease's record names
-/// them. See docs/design/placement.md.
+/// The endpoints that a holder of the placement lease may send orders to, as listed in the lease
+/// record. See docs/design/placement.md.
 #ifndef RUDDERLOOM_PLACEMENT_ORDER_SCOPE_HPP
 #define RUDDERLOOM_PLACEMENT_ORDER_SCOPE_HPP
 
@@ -11,34 +11,34 @@
 
 namespace rudderloom {
 
-/// @brief What orders may be about; each includes the ones before it.
+/// @brief The kinds of orders permitted; each value includes the previous ones.
 /// @ingroup placement
 enum class OrderScope {
-  kLocal,        ///< What starts no load from the weight store.
-  kWeightStore,  ///< Also loads from the weight store.
+  kLocal,        ///< Orders that start no load from the weight store.
+  kWeightStore,  ///< Includes loads from the weight store.
 };
 
-/// @brief By endpoint instance.
+/// @brief Order scopes by endpoint instance.
 /// @ingroup placement
 using OrderScopes = std::map<std::string, OrderScope>;
 
-/// @brief True when `scopes` allow such an order to the endpoint.
+/// @brief Returns true if `scopes` allow orders of `scope` to the endpoint.
 /// @ingroup placement
 bool Covers(const OrderScopes& scopes, const std::string& instance, OrderScope scope);
 
-/// @brief True when every entry of `part` is covered.
+/// @brief Returns true if `scopes` cover every entry of `part`.
 /// @ingroup placement
 bool CoversAll(const OrderScopes& scopes, const OrderScopes& part);
 
-/// @brief What both allow.
+/// @brief Returns the scopes that both arguments allow.
 /// @ingroup placement
 OrderScopes Common(const OrderScopes& left, const OrderScopes& right);
 
-/// @brief What either allows.
+/// @brief Returns the scopes that either argument allows.
 /// @ingroup placement
 OrderScopes Union(OrderScopes left, const OrderScopes& right);
 
-/// @brief Endpoints on which loads from the weight store may start.
+/// @brief Returns the number of endpoints on which loads from the weight store may start.
 /// @ingroup placement
 std::size_t CountWeightStore(const OrderScopes& scopes);
 
--- a/include/rudderloom/placement/placement_keeper.hpp
+++ b/include/rudderloom/placement/placement_keeper.hpp
@@ -1,10 +1,11 @@
 /// @file
-/// What the holder of the lease orders the model engines to hold. Pure; time is passed in.
+/// Decides which models and adapters the lease holder orders each engine to load or unload. Pure;
+/// time is passed in.
 ///
-/// Every order names how many orders its endpoint must have taken so far, so that an order that
-/// comes late, after another one, is refused by the endpoint itself. An order is sent only from a
-/// state of the endpoint that is known for certain, and only if what it adds fits beside everything
-/// that is there then. See docs/design/placement.md.
+/// Every order carries the number of orders that its endpoint must have accepted so far, so the
+/// endpoint itself rejects an order that arrives late, after another one. An order is sent only
+/// when the state of the endpoint is known for certain, and only if its additions fit beside
+/// everything the endpoint holds at that time. See docs/design/placement.md.
 #ifndef RUDDERLOOM_PLACEMENT_PLACEMENT_KEEPER_HPP
 #define RUDDERLOOM_PLACEMENT_PLACEMENT_KEEPER_HPP
 
@@ -29,62 +30,62 @@
 
 namespace rudderloom {
 
-/// @brief A question to one engine.
+/// @brief A request for a report from one engine.
 /// @ingroup placement
 struct ReportCall {
   std::string instance;
   std::string address;
-  std::uint64_t born = 0;  ///< Of the life that is asked.
+  std::uint64_t born = 0;  ///< Start time of the endpoint instance to be asked.
 };
 
-/// @brief What the keeper asks its shell to do.
+/// @brief Actions that the keeper asks its caller to carry out.
 /// @ingroup placement
 struct PlacementEffects {
   std::vector<PlacementOrder> orders;
   std::vector<ReportCall> report_calls;
-  LoadForecast forecast;  ///< Of recently requested units without running requests.
+  LoadForecast forecast;  ///< Expected loads of recently requested units without running requests.
 };
 
-/// @brief The lease as the keeper needs it.
+/// @brief The fields of the held lease that the keeper uses.
 /// @ingroup placement
 struct HeldLease {
   std::string holder;
   std::uint64_t epoch = 0;
   TimePoint valid_until;
-  OrderScopes announced;  ///< Endpoints that orders may be sent to.
+  OrderScopes announced;  ///< Endpoints that may receive orders.
 };
 
-/// @brief Keeps what is known of each engine and moves towards what the demand asks for.
+/// @brief Tracks the state of each engine and sends orders until the loaded models match demand.
 /// @ingroup placement
 class PlacementKeeper {
  public:
-  /// @param lease_bound The least time between orders of two holders.
+  /// @param lease_bound Minimum time between orders of two holders.
   PlacementKeeper(Duration load_window, double load_overshoot, Duration lease_bound);
 
-  /// @brief Forgets everything, when the lease is taken anew.
+  /// @brief Discards all engine state after this process has acquired the lease.
   void Reset(const FormerLease& former, TimePoint now);
 
-  /// @brief This process goes on with the lease under a new token; what it knows is still so.
+  /// @brief Continues to hold the lease under a new token. Engine state remains valid.
   void GoOn(const FormerLease& former, TimePoint now);
 
-  /// @brief Endpoints that the lease's record must name.
+  /// @brief Endpoints that the lease record must list.
   const OrderAnnouncements& Announcements() const { return announcements_; }
 
-  /// @brief An engine answered; empty when it did not.
+  /// @brief Applies an engine's report; empty if the engine did not answer.
   void Reported(const std::string& instance,
                 const std::optional<EngineReport>& report,
                 TimePoint now);
 
-  /// @brief What came of an order.
+  /// @brief Applies the outcome of an order.
   void OrderEnded(const PlacementOrder& order, PlacementOutcome outcome, TimePoint now);
 
-  /// @brief True while the outcome of an order is not known: it may yet reach its endpoint.
-  bool OrdersUnderWay() const { return orders_under_way_ > 0; }
+  /// @brief True while an order's outcome is unknown, so that it may still reach its endpoint.
+  bool OrdersUnderWay() const { return orders_in_flight_ > 0; }
 
-  /// @brief Limits that endpoints have announced; null for none.
+  /// @brief Sets the request limits announced by endpoints; null for none.
   void NoteLimits(EndpointLimitsPtr limits) { limits_ = std::move(limits); }
 
-  /// @brief Moves on; call often while the lease is held.
+  /// @brief Advances the state machine. Call frequently while the lease is held.
   PlacementEffects Tick(const RouteTable& routes,
                         const std::map<std::string, KnownEndpoint>& endpoints,
                         const DemandBoard& demand,
@@ -92,21 +93,21 @@
                         const HeldLease& lease,
                         TimePoint now);
 
-  /// @brief What requests may be sent for, by instance: without what is about to be unloaded.
-  /// Only engines whose state is known are in it.
+  /// @brief Models and adapters that requests may be routed to, by instance, without those about to
+  /// be unloaded. Contains only engines whose state is known.
   ServingList Serving() const;
 
-  /// @brief Grows whenever Serving changes.
+  /// @brief Increases whenever the result of Serving changes.
   std::uint64_t ServingVersion() const { return serving_version_; }
 
  private:
-  void Follow(const std::map<std::string, KnownEndpoint>& endpoints, TimePoint now);
-  void AskReports(PlacementEffects& effects, TimePoint now);
-  void Advance(const ServiceSpec& service,
-               const std::vector<std::string>& instances,
-               const HeldLease& lease,
-               PlacementEffects& effects,
-               TimePoint now);
+  void UpdateEngines(const std::map<std::string, KnownEndpoint>& endpoints, TimePoint now);
+  void RequestReports(PlacementEffects& effects, TimePoint now);
+  void AdvanceSwaps(const ServiceSpec& service,
+                    const std::vector<std::string>& instances,
+                    const HeldLease& lease,
+                    PlacementEffects& effects,
+                    TimePoint now);
   void Plan(const ServiceSpec& service,
             const std::vector<std::string>& instances,
             const DemandBoard& demand,
@@ -121,7 +122,7 @@
                    TimePoint now);
   std::optional<double> LimitOf(const std::string& instance) const;
   void LogShortfalls(const PlacementPlan& plan, TimePoint now);
-  // Sends an order; false while the endpoint may not be ordered yet.
+  // Sends an order. Returns false while the endpoint may not receive orders yet.
   bool Send(const std::string& instance,
             EngineState& engine,
             bool load,
@@ -130,17 +131,17 @@
             const HeldLease& lease,
             PlacementEffects& effects,
             TimePoint now);
-  // Loads that swaps under way are yet to start.
+  // Number of pending swaps, each of which still has to start a load.
   std::size_t PendingSwaps() const;
-  void ServingChanged() { ++serving_version_; }
+  void IncrementServingVersion() { ++serving_version_; }
 
   LoadPacer pacer_;
   OrderAnnouncements announcements_;
   std::map<std::string, EngineState> engines_;
   EndpointLimitsPtr limits_;
-  std::map<std::string, LoadTimes> load_times_;  // by model
+  std::map<std::string, LoadTimes> load_times_;  // load times by model
   std::uint64_t serving_version_ = 1;
-  std::size_t orders_under_way_ = 0;  // also to endpoints that are gone by now
+  std::size_t orders_in_flight_ = 0;  // includes orders to endpoints that have since left
   TimePoint shortfalls_logged_at_;
 };
 
--- a/include/rudderloom/placement/planner.hpp
+++ b/include/rudderloom/placement/planner.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Which models and adapters to load where next, given demand and what is there. Pure.
+/// Plans which models and adapters to load next and on which engine, from demand and the current
+/// state. Pure.
 #ifndef RUDDERLOOM_PLACEMENT_PLANNER_HPP
 #define RUDDERLOOM_PLACEMENT_PLANNER_HPP
 
@@ -14,37 +15,38 @@
 
 namespace rudderloom {
 
-/// @brief One engine as the planner sees it.
+/// @brief Planner input for one engine.
 /// @ingroup placement
 struct PlanEngine {
   std::string instance;
-  /// @brief Models with their adapters, also those on their way in, without those on their way out.
+  /// @brief Models with their adapters, including those being loaded and excluding those being
+  /// unloaded.
   std::map<std::string, std::set<std::string>> models;
-  std::set<std::string> resident;  ///< Models that are there now: only they take adapters.
+  std::set<std::string> resident;  ///< Models currently loaded; only these can load adapters.
   LocalWeights local_weights;
-  std::uint64_t memory_used = 0;  ///< In MB, with everything on its way in or out.
-  std::uint32_t adapters = 0;     ///< Adapter places taken, with those on their way.
-  bool takes_models = false;      ///< Its state is certain and nothing is under way.
+  std::uint64_t memory_used = 0;  ///< In MB, including everything being loaded or unloaded.
+  std::uint32_t adapters = 0;     ///< Adapter slots in use, including pending loads.
+  bool takes_models = false;      ///< State is certain and no order is in progress.
   bool takes_adapters = false;
   /// @brief Model and adapter of its unanswered load order; empty for none, or if it gives no
   /// report.
   std::optional<std::pair<std::string, std::string>> unanswered_adapter;
   EndpointLoad load;
-  std::optional<double> requests_per_second;  ///< That it accepts; empty: any number.
-  bool copies_count = true;                   ///< Demand can be served by its models.
+  std::optional<double> requests_per_second;  ///< Rate limit of the engine; empty if unlimited.
+  bool copies_count = true;                   ///< Its models count as copies that serve demand.
 };
 
-/// @brief Load a model, after unloading another one where there is no room.
+/// @brief Loads a model, first unloading another one if there is no room.
 /// @ingroup placement
 struct ModelStep {
   std::string instance;
   std::string model;
   std::optional<std::string> victim;
-  bool asked_for = true;   ///< False: nobody asks for it now; it is to be there in case.
-  bool from_store = true;  ///< False: the endpoint has the weights.
+  bool requested = true;  ///< False if no requests ask for it now, so that the load is speculative.
+  bool from_store = true;  ///< False if the endpoint has the weights locally.
 };
 
-/// @brief Load an adapter, after unloading another one where no place is free.
+/// @brief Loads an adapter, first unloading another one if no slot is free.
 /// @ingroup placement
 struct AdapterStep {
   std::string instance;
@@ -53,7 +55,7 @@
   std::optional<std::pair<std::string, std::string>> victim;  ///< Model and adapter.
 };
 
-/// @brief What the planner decides from.
+/// @brief Input of the planner.
 /// @ingroup placement
 struct PlacementInput {
   const std::string& service;
@@ -63,16 +65,16 @@
   TimePoint now;
 };
 
-/// @brief A model that demand is worth more copies of than there are.
+/// @brief A model with fewer copies than its demand warrants.
 /// @ingroup placement
 struct Shortfall {
   std::string model;
   double pressure = 0.0;
-  std::uint32_t copies = 0;  ///< With those on their way, before this plan.
+  std::uint32_t copies = 0;  ///< Copies before this plan, including those being loaded.
   std::uint32_t wanted = 0;
 };
 
-/// @brief The next steps, most urgent first; at most one for each engine.
+/// @brief The next steps, most urgent first; at most one per engine.
 /// @ingroup placement
 struct PlacementPlan {
   std::vector<ModelStep> models;
@@ -80,16 +82,16 @@
   std::vector<Shortfall> shortfalls;  ///< Most urgent first.
 };
 
-/// @brief How many copies of each model the demand is worth, one at least for each.
-/// @param places Models that all engines together can hold.
-/// @param engines No model has more copies than there are engines.
+/// @brief Returns the number of copies of each model that its demand warrants, at least one each.
+/// @param places Number of models that all engines together can hold.
+/// @param engines Number of engines, which is the maximum number of copies of a model.
 /// @ingroup placement
 std::map<std::string, std::uint32_t> WantedCopies(const std::map<std::string, double>& pressures,
                                                   std::uint32_t places,
                                                   std::uint32_t engines);
 
-/// @brief Plans the next steps. The last copy of a model goes only when it has long not been asked
-/// for, and another model that is asked for has none, or none with places left.
+/// @brief Plans the next steps. The last copy of a model is unloaded only if it has not been
+/// requested for a long time and a requested model has no copy, or none with free slots.
 /// @ingroup placement
 PlacementPlan PlanPlacement(PlacementInput input);
 
--- a/include/rudderloom/placement/serving.hpp
+++ b/include/rudderloom/placement/serving.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What requests may be sent to each endpoint for.
+/// The models and adapters that each endpoint serves.
 #ifndef RUDDERLOOM_PLACEMENT_SERVING_HPP
 #define RUDDERLOOM_PLACEMENT_SERVING_HPP
 
@@ -11,11 +11,12 @@
 
 namespace rudderloom {
 
-/// @brief What requests may be sent for, by endpoint instance.
+/// @brief Models that requests may be routed to, by endpoint instance.
 /// @ingroup placement
 using ServingList = std::map<std::string, std::vector<ResidentModel>>;
 
-/// @brief The same with the version of each change; versions rise also from holder to holder.
+/// @brief The serving list with the version of each change. Versions also increase from holder to
+/// holder.
 /// @ingroup placement
 using ServingLog = ChangeLog<std::vector<ResidentModel>>;
 using ServingChanges = Changes<std::vector<ResidentModel>>;
--- a/src/rudderloom/placement/demand.cpp
+++ b/src/rudderloom/placement/demand.cpp
@@ -7,17 +7,17 @@
 
 namespace {
 
-constexpr Duration kFresh{1'500};
+constexpr Duration kMaxCountsAge{1'500};
 constexpr double kRiseSeconds = 0.4;
 constexpr double kFallSeconds = 3.0;
-// Of the demand offered: long enough for a model asked for twice a second, and three times that to
-// see a trend.
-constexpr double kFastSeconds = 1.5;
-constexpr double kSlowSeconds = 4.5;
-// A swap and a load from the weight store take about 7 s; most of it is looked ahead.
+// Time constants for the average offered load: the short one covers a model requested twice a
+// second, and the long one is three times that so that a trend is visible.
+constexpr double kFastAverageSeconds = 1.5;
+constexpr double kSlowAverageSeconds = 4.5;
+// A swap with a load from the weight store takes about 7 s; the extrapolation covers most of it.
 constexpr double kLookAheadSeconds = 5.0;
-constexpr double kMostForeseen = 2.0;
-constexpr double kLeastKnown = 0.5;  // seconds
+constexpr double kMaxTrendFactor = 2.0;
+constexpr double kMinObservedSeconds = 0.5;  // seconds
 constexpr Duration kForgetAfter{120'000};
 
 }  // namespace
@@ -32,7 +32,7 @@
 }
 
 bool CountsFresh(TimePoint heard_at, TimePoint now) {
-  return now - heard_at <= kFresh;
+  return now - heard_at <= kMaxCountsAge;
 }
 
 void DemandBoard::Counted(const NodeCounts& counts, TimePoint now) {
@@ -43,7 +43,7 @@
   for (const auto& [unit, count] : counts.units) {
     if (count.running + count.waiting > 0 || count.offered > Duration(0)) {
       units_[unit].asked_at = now;
-      first_asked_ = first_asked_.value_or(now);
+      first_request_at_ = first_request_at_.value_or(now);
     }
     smoothed_[unit].arrived += count.offered;
   }
@@ -62,8 +62,8 @@
   }
   const double seconds = std::min(1.0, std::chrono::duration<double>(now - smoothed_at_).count());
   smoothed_at_ = now;
-  const double known_for =
-      first_asked_ ? std::chrono::duration<double>(now - *first_asked_).count() : 0.0;
+  const double observed_seconds =
+      first_request_at_ ? std::chrono::duration<double>(now - *first_request_at_).count() : 0.0;
   for (auto& [unit, demand] : units_) {
     const auto found = sums.find(unit);
     const UnitCount sum = found == sums.end() ? UnitCount() : found->second;
@@ -71,7 +71,7 @@
     demand.waiting = sum.waiting;
     Smoothed& smoothed = smoothed_[unit];
     Smooth(smoothed, sum.running + sum.waiting, seconds);
-    demand.pressure = std::max(smoothed.in_flight, Foreseen(smoothed, known_for));
+    demand.pressure = std::max(smoothed.in_flight, Extrapolate(smoothed, observed_seconds));
   }
   std::erase_if(units_,
                 [&](const auto& entry) { return now - entry.second.asked_at > kForgetAfter; });
@@ -84,32 +84,33 @@
   if (seconds <= 0.0) {
     return;
   }
-  const auto follow = [seconds](double& value, double target, double time) {
-    value += (target - value) * (1.0 - std::exp(-seconds / time));
+  const auto update_average = [seconds](double& value, double target, double time_constant) {
+    value += (target - value) * (1.0 - std::exp(-seconds / time_constant));
   };
-  follow(smoothed.in_flight, in_flight,
-         in_flight > smoothed.in_flight ? kRiseSeconds : kFallSeconds);
+  update_average(smoothed.in_flight, in_flight,
+                 in_flight > smoothed.in_flight ? kRiseSeconds : kFallSeconds);
   const double offered = std::chrono::duration<double>(smoothed.arrived).count() / seconds;
   smoothed.arrived = Duration(0);
-  follow(smoothed.offered_fast, offered, kFastSeconds);
-  follow(smoothed.offered_slow, offered, kSlowSeconds);
+  update_average(smoothed.offered_fast, offered, kFastAverageSeconds);
+  update_average(smoothed.offered_slow, offered, kSlowAverageSeconds);
 }
 
-// Demand that rises is followed along its trend, as a load takes effect only some seconds later. An
-// average that began at nothing is too low at first, the slow one for longer: without the
-// correction every demand would seem to rise when the first is seen.
-double DemandBoard::Foreseen(const Smoothed& smoothed, double known_for) {
-  const auto corrected = [known_for](double average, double time) {
-    return average / (1.0 - std::exp(-std::max(known_for, kLeastKnown) / time));
+// Extrapolates rising demand along its trend, because a load takes effect only seconds later. An
+// average that starts at zero is too low at first, the slow one for longer; without the correction,
+// all demand would seem to rise when the first requests arrive.
+double DemandBoard::Extrapolate(const Smoothed& smoothed, double observed_seconds) {
+  const auto corrected = [observed_seconds](double average, double time_constant) {
+    return average /
+           (1.0 - std::exp(-std::max(observed_seconds, kMinObservedSeconds) / time_constant));
   };
-  const double fast = corrected(smoothed.offered_fast, kFastSeconds);
-  const double slow = corrected(smoothed.offered_slow, kSlowSeconds);
+  const double fast = corrected(smoothed.offered_fast, kFastAverageSeconds);
+  const double slow = corrected(smoothed.offered_slow, kSlowAverageSeconds);
   const double rise = fast - slow;
-  if (rise <= 0.0 || known_for < kSlowSeconds) {
+  if (rise <= 0.0 || observed_seconds < kSlowAverageSeconds) {
     return fast;
   }
-  const double slope = rise / (kSlowSeconds - kFastSeconds);
-  return std::min(fast + slope * kLookAheadSeconds, fast * kMostForeseen);
+  const double slope = rise / (kSlowAverageSeconds - kFastAverageSeconds);
+  return std::min(fast + slope * kLookAheadSeconds, fast * kMaxTrendFactor);
 }
 
 UnitDemand DemandBoard::Of(const UnitName& unit) const {
@@ -147,10 +148,11 @@
   return sums;
 }
 
-std::vector<ReportingNode> DemandBoard::Reporting(const std::string& but, TimePoint now) const {
+std::vector<ReportingNode> DemandBoard::Reporting(const std::string& excluded_node,
+                                                  TimePoint now) const {
   std::vector<ReportingNode> reporting;
   for (const auto& [name, node] : nodes_) {
-    if (name != but && CountsFresh(node.heard_at, now)) {
+    if (name != excluded_node && CountsFresh(node.heard_at, now)) {
       reporting.push_back(node.reporting);
     }
   }
--- a/src/rudderloom/placement/engine_state.cpp
+++ b/src/rudderloom/placement/engine_state.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr Duration kAskAgain{250};
-constexpr Duration kAskAfterUnload{150};
-constexpr Duration kAskAfterConflict{120};
-// Reports are some 100 ms old; one that shows fewer orders after this time is right.
+constexpr Duration kReportRetryInterval{250};
+constexpr Duration kReportDelayAfterUnload{150};
+constexpr Duration kReportDelayAfterConflict{120};
+// Reports are about 100 ms old; a report with fewer orders is accepted after this time.
 constexpr Duration kReportLag{700};
-// From then on an order without an answer counts as not taken if a report says so, which is by then
-// newer than the order. Should the order come yet, the count of orders that it names keeps it from
-// taking effect beside a later one, so nothing is gained by waiting longer.
-constexpr Duration kGiveUpOrder{900};
-constexpr Duration kAskIdle{5'000};
-constexpr Duration kAskSilent{800};
-// An adapter is used a moment after its load was accepted.
-constexpr Duration kAdapterTime{25};
-// A report shows a load's end this much later.
+// After this time an unanswered order counts as not accepted if a report, which is by then newer
+// than the order, says so. If the order still arrives, its expected order count prevents it from
+// taking effect beside a later one, so waiting longer gains nothing.
+constexpr Duration kUnansweredOrderTimeout{900};
+constexpr Duration kIdleReportInterval{5'000};
+constexpr Duration kSilentEngineRetryInterval{800};
+// Delay between the acceptance of an adapter load and the adapter's use.
+constexpr Duration kAdapterReadyDelay{25};
+// Delay until a report shows the end of a load.
 constexpr Duration kReportDelay{120};
 // Expected time until an order is answered.
 constexpr Duration kOrderAnswerTime{50};
@@ -47,7 +47,7 @@
       .With("outcome", outcome);
 }
 
-// Memory and places that a model or adapter takes.
+// Memory in MB that a model or adapter takes.
 std::uint64_t MemoryOf(const EngineSpec& spec, const std::string& model) {
   const ModelSpec* known = spec.Find(model);
   return known == nullptr ? 0 : known->memory_mb;
@@ -67,55 +67,55 @@
   engine.address = record.address;
   engine.orders_taken = record.orders_taken;
   engine.models = record.models;
-  engine.ask_at = now;
+  engine.next_report_at = now;
   return engine;
 }
 
-bool EngineState::TakeReport(const std::optional<EngineReport>& report, TimePoint now) {
-  asking = false;
+bool EngineState::ApplyReport(const std::optional<EngineReport>& report, TimePoint now) {
+  report_requested = false;
   silent = !report;
-  ask_at = now + kAskSilent;
-  if (!report || flight) {
+  next_report_at = now + kSilentEngineRetryInterval;
+  if (!report || sent_order) {
     return false;
   }
   const Duration since_order = Between(order_at, now);
   if (report->orders_taken < orders_taken && known && since_order < kReportLag) {
-    ask_at = now + kAskAgain;
+    next_report_at = now + kReportRetryInterval;
     return false;
   }
-  const bool taken = report->orders_taken > orders_taken;
-  if (doubtful && !taken && since_order < kGiveUpOrder) {
-    ask_at = now + kAskAgain;
+  const bool newer_orders_taken = report->orders_taken > orders_taken;
+  if (uncertain && !newer_orders_taken && since_order < kUnansweredOrderTimeout) {
+    next_report_at = now + kReportRetryInterval;
     return false;
   }
   bool changed = models != report->models;
   known = true;
   unanswered.reset();
-  doubtful = false;
+  uncertain = false;
   busy = report->busy;
   orders_taken = report->orders_taken;
   pending_adapters = report->pending_adapters;
   local_weights = report->local_weights;
   models = report->models;
-  if (running && !report->busy) {
-    LogOrder(*running, "done");
-    running.reset();
+  if (running_order && !report->busy) {
+    LogOrder(*running_order, "done");
+    running_order.reset();
     changed = true;
   }
-  ask_at = now + (report->busy ? kAskAgain : kAskIdle);
+  next_report_at = now + (report->busy ? kReportRetryInterval : kIdleReportInterval);
   return changed;
 }
 
 void EngineState::OrderSent(const PlacementOrder& order, TimePoint now) {
-  flight = order;
+  sent_order = order;
   order_at = now;
 }
 
-bool EngineState::Carried(const PlacementOrder& order) {
+bool EngineState::ApplyOrder(const PlacementOrder& order) {
   orders_taken = order.expected + 1;
   if (order.adapter.empty()) {
     busy = true;
-    running = order;
+    running_order = order;
     return false;
   }
   const std::string key = AdapterKey(order.model, order.adapter);
@@ -145,32 +145,33 @@
                              const LoadTimes& times,
                              TimePoint now) {
   LogOrder(order, NameOf(outcome));
-  if (!flight) {
+  if (!sent_order) {
     return false;
   }
-  flight.reset();
+  sent_order.reset();
   order_at = now;
   switch (outcome) {
     case PlacementOutcome::kAccepted: {
-      const bool changed = Carried(order);
+      const bool changed = ApplyOrder(order);
       if (order.adapter.empty()) {
-        ask_at = now + (order.load ? ExpectedLoadTime(order.model, times) : kAskAfterUnload);
-        running_ends_at = ask_at;
+        next_report_at =
+            now + (order.load ? ExpectedLoadTime(order.model, times) : kReportDelayAfterUnload);
+        running_ends_at = next_report_at;
       }
       return changed;
     }
     case PlacementOutcome::kHoldsAlready: {
       if (order.load) {
-        doubtful = true;
-        ask_at = now + kAskAfterConflict;
+        uncertain = true;
+        next_report_at = now + kReportDelayAfterConflict;
         return false;
       }
-      const bool changed = Carried(order);
+      const bool changed = ApplyOrder(order);
       busy = false;
-      running.reset();
+      running_order.reset();
       if (order.adapter.empty()) {
-        doubtful = true;
-        ask_at = now + kAskAfterConflict;
+        uncertain = true;
+        next_report_at = now + kReportDelayAfterConflict;
       }
       return changed;
     }
@@ -178,57 +179,57 @@
     case PlacementOutcome::kLapsed:
     case PlacementOutcome::kRefused:
       known = false;
-      ask_at = now + kAskAgain;
+      next_report_at = now + kReportRetryInterval;
       swap.reset();
       return true;
     case PlacementOutcome::kConflict:
-      // What the order wanted did not happen; a report tells what did.
+      // The order was not carried out; a report will show the actual state.
       known = false;
-      ask_at = now + kAskAfterConflict;
+      next_report_at = now + kReportDelayAfterConflict;
       return false;
     case PlacementOutcome::kFenced:
     case PlacementOutcome::kUnknown:
-      doubtful = true;
+      uncertain = true;
       unanswered = order;
-      ask_at = now + kAskAgain;
+      next_report_at = now + kReportRetryInterval;
       return false;
   }
   return false;
 }
 
 TimePoint EngineState::NextOrderAt(TimePoint now) const {
-  if (flight || doubtful) {
+  if (sent_order || uncertain) {
     // An order without an answer may be confirmed by any report.
     return now + kOrderAnswerTime;
   }
-  if (running) {
+  if (running_order) {
     return std::max(running_ends_at, now);
   }
-  return Certain() ? now : std::max(ask_at, now) + kOrderAnswerTime;
+  return Certain() ? now : std::max(next_report_at, now) + kOrderAnswerTime;
 }
 
 std::optional<TimePoint> EngineState::LoadEndsAt(const std::string& model,
                                                  const LoadTimes& times,
                                                  TimePoint now) const {
-  const auto loads = [&](const std::optional<PlacementOrder>& order) {
+  const auto is_load_of_model = [&](const std::optional<PlacementOrder>& order) {
     return order && order->load && order->adapter.empty() && order->model == model;
   };
   const Duration load_time = ExpectedLoadTime(model, times);
-  if (loads(running)) {
+  if (is_load_of_model(running_order)) {
     return std::max(running_ends_at, now);
   }
-  if (loads(flight)) {
+  if (is_load_of_model(sent_order)) {
     return std::max(order_at + load_time, now);
   }
-  if (loads(unanswered)) {
+  if (is_load_of_model(unanswered)) {
     // Assumes that the order was accepted and, once its load time is over, that it is sent again.
     const TimePoint ends_if_accepted = order_at + load_time;
     return ends_if_accepted >= now ? ends_if_accepted : NextOrderAt(now) + load_time;
   }
-  if (swap && swap->newcomer == model) {
-    const TimePoint unloaded_at = Holds(swap->victim)
-                                      ? std::max(swap->ready_at, NextOrderAt(now)) + kAskAfterUnload
-                                      : NextOrderAt(now);
+  if (swap && swap->replacement == model) {
+    const TimePoint unloaded_at =
+        Holds(swap->victim) ? std::max(swap->ready_at, NextOrderAt(now)) + kReportDelayAfterUnload
+                            : NextOrderAt(now);
     return unloaded_at + load_time;
   }
   return std::nullopt;
@@ -236,21 +237,21 @@
 
 std::set<std::string> EngineState::IncomingModels() const {
   std::set<std::string> incoming;
-  for (const auto& order : {flight, running, unanswered}) {
+  for (const auto& order : {sent_order, running_order, unanswered}) {
     if (order && order->load && order->adapter.empty()) {
       incoming.insert(order->model);
     }
   }
   if (swap) {
-    incoming.insert(swap->newcomer);
+    incoming.insert(swap->replacement);
   }
   return incoming;
 }
 
-bool EngineState::TakeAdapters(TimePoint now) {
+bool EngineState::MarkLoadedAdapters(TimePoint now) {
   bool changed = false;
   std::erase_if(adapter_loaded, [&](const auto& entry) {
-    if (now - entry.second < kAdapterTime) {
+    if (now - entry.second < kAdapterReadyDelay) {
       return false;
     }
     const std::size_t slash = entry.first.find('/');
@@ -264,53 +265,54 @@
   return changed;
 }
 
-PlanEngine EngineState::View(const std::string& instance,
-                             const EngineSpec& spec,
-                             bool resting) const {
-  PlanEngine view;
-  view.instance = instance;
+PlanEngine EngineState::ToPlanEngine(const std::string& instance,
+                                     const EngineSpec& spec,
+                                     bool blocked) const {
+  PlanEngine plan_engine;
+  plan_engine.instance = instance;
   for (const ResidentModel& model : models) {
-    view.models[model.name] = model.adapters;
-    view.resident.insert(model.name);
-    view.memory_used += MemoryOf(spec, model.name);
-    view.memory_used += AdapterMemoryOf(spec, model.name) * model.adapters.size();
-    view.adapters += static_cast<std::uint32_t>(model.adapters.size());
+    plan_engine.models[model.name] = model.adapters;
+    plan_engine.resident.insert(model.name);
+    plan_engine.memory_used += MemoryOf(spec, model.name);
+    plan_engine.memory_used += AdapterMemoryOf(spec, model.name) * model.adapters.size();
+    plan_engine.adapters += static_cast<std::uint32_t>(model.adapters.size());
   }
   for (const std::string& pending : pending_adapters) {
     const std::size_t slash = pending.find('/');
     const std::string model = pending.substr(0, slash);
-    view.memory_used += AdapterMemoryOf(spec, model);
-    view.adapters += 1;
-    view.models[model].insert(pending.substr(slash + 1));
+    plan_engine.memory_used += AdapterMemoryOf(spec, model);
+    plan_engine.adapters += 1;
+    plan_engine.models[model].insert(pending.substr(slash + 1));
   }
-  // A model that is under way, or may be, counts as there; one that is leaving does not.
-  for (const auto& order : {flight, running}) {
-    if (order && order->adapter.empty() && order->load && !view.models.contains(order->model)) {
-      view.models[order->model];
-      view.memory_used += MemoryOf(spec, order->model);
+  // A model that is or may be loading counts as held; one being unloaded does not.
+  for (const auto& order : {sent_order, running_order}) {
+    if (order && order->adapter.empty() && order->load &&
+        !plan_engine.models.contains(order->model)) {
+      plan_engine.models[order->model];
+      plan_engine.memory_used += MemoryOf(spec, order->model);
     } else if (order && order->adapter.empty() && !order->load) {
-      view.models.erase(order->model);
+      plan_engine.models.erase(order->model);
     }
   }
   if (swap) {
-    view.models.erase(swap->victim);
-    view.resident.erase(swap->victim);
-    view.models[swap->newcomer];
+    plan_engine.models.erase(swap->victim);
+    plan_engine.resident.erase(swap->victim);
+    plan_engine.models[swap->replacement];
   }
   if (unanswered && unanswered->load && !unanswered->adapter.empty() && !silent) {
-    view.unanswered_adapter = {unanswered->model, unanswered->adapter};
+    plan_engine.unanswered_adapter = {unanswered->model, unanswered->adapter};
   }
-  view.local_weights = local_weights;
-  view.takes_adapters = Certain() && !resting;
-  view.takes_models = view.takes_adapters && !swap && !running;
-  return view;
+  plan_engine.local_weights = local_weights;
+  plan_engine.takes_adapters = Certain() && !blocked;
+  plan_engine.takes_models = plan_engine.takes_adapters && !swap && !running_order;
+  return plan_engine;
 }
 
 std::vector<ResidentModel> EngineState::Serving() const {
   std::vector<ResidentModel> serving;
   for (const ResidentModel& model : models) {
-    const bool unloading =
-        running && !running->load && running->adapter.empty() && running->model == model.name;
+    const bool unloading = running_order && !running_order->load &&
+                           running_order->adapter.empty() && running_order->model == model.name;
     if (!unloading && !(swap && swap->victim == model.name)) {
       serving.push_back(model);
     }
--- a/src/rudderloom/placement/lease_keeper.cpp
+++ b/src/rudderloom/placement/lease_keeper.cpp
@@ -8,25 +8,25 @@
 
 namespace {
 
-constexpr std::size_t kWriteStartsKept = 16;
-// So that not all nodes try at one moment.
-constexpr Duration::rep kSpreadMilliseconds = 200;
-// A node with a whole core lets nobody go first; one with less waits this many milliseconds for
-// each core's worth of time by which its work takes longer. Chosen so that the times of nodes with
-// 0.5 and with 0.12 of a core (40 and 293) do not meet, spread included.
-constexpr double kYieldOfOneCore = 40.0;
-constexpr Duration kYieldMost{400};
-// An order may still be connecting when its holder's time is over.
-constexpr Duration kMargin{500};
-// How much later than usual a renewal may come before its holder is given up.
+constexpr std::size_t kMaxWriteStarts = 16;
+// Maximum delay, derived from the address, so that nodes don't all try at the same time.
+constexpr Duration::rep kMaxJitterMilliseconds = 200;
+// A node with a whole core does not yield. A node with less waits this many milliseconds times (1 /
+// processor share - 1). The value keeps the delays of nodes with 0.5 and 0.12 of a core (40 and 293
+// ms) apart, including jitter.
+constexpr double kYieldMillisecondsPerCore = 40.0;
+constexpr Duration kMaxYield{400};
+// An order may still be connecting when its holder's lease expires.
+constexpr Duration kConnectMargin{500};
+// How late a renewal may be before its holder is considered gone.
 constexpr Duration kRenewalSlack{500};
-constexpr Duration kBetweenAnnouncements{30};
-// The era of the store makes up the upper digits of an epoch: in a later era none is given out that
-// was before, whatever the store has forgotten. Leaves room for as many holders in an era, and for
-// 4,096 eras where epochs are shifted by another 32 bits.
+constexpr Duration kMinAnnouncementInterval{30};
+// The upper bits of an epoch are the store's era, so that a later era never reissues an epoch,
+// whatever the store has lost. The shift allows 2^20 holders per era, and 4,096 eras where epochs
+// are shifted by another 32 bits.
 constexpr unsigned kEraShift = 20;
-// A renewal takes some milliseconds; after so long something is wrong with it.
-constexpr Duration kRenewalLate{250};
+// A renewal normally takes a few milliseconds; after this delay it is considered failing.
+constexpr Duration kRenewalOverdueAfter{250};
 
 bool IsOlder(const LeaseRecord& left, const LeaseRecord& right) {
   return std::tie(left.epoch, left.renewals) < std::tie(right.epoch, right.renewals);
@@ -36,7 +36,8 @@
 
 Duration YieldTime(double processor_share) {
   const double slowness = std::max(0.0, 1.0 / processor_share - 1.0);
-  return std::min(kYieldMost, Duration(static_cast<Duration::rep>(kYieldOfOneCore * slowness)));
+  return std::min(kMaxYield,
+                  Duration(static_cast<Duration::rep>(kYieldMillisecondsPerCore * slowness)));
 }
 
 LeaseKeeper::LeaseKeeper(std::string address,
@@ -51,21 +52,21 @@
       bound_(bound),
       yield_(yield),
       store_is_new_(start == LeaseStart::kFirst) {
-  const auto spread = static_cast<Duration::rep>(std::hash<std::string>{}(address_) %
-                                                 static_cast<std::size_t>(kSpreadMilliseconds));
-  suspect_after_ = renew_every_ + kRenewalSlack + yield + Duration(spread);
-  lost_after_ = valid_for_ + yield + Duration(spread);
+  const auto jitter = static_cast<Duration::rep>(std::hash<std::string>{}(address_) %
+                                                 static_cast<std::size_t>(kMaxJitterMilliseconds));
+  renewal_timeout_ = renew_every_ + kRenewalSlack + yield + Duration(jitter);
+  lost_record_timeout_ = valid_for_ + yield + Duration(jitter);
 }
 
-bool LeaseKeeper::IsMine(const LeaseRecord& record) const {
+bool LeaseKeeper::IsOwnRecord(const LeaseRecord& record) const {
   return record.holder == address_ && record.incarnation == incarnation_;
 }
 
-// An answer may be older than what this process has read or written since it asked. That a fresh
-// read finds no object is believed: somebody has deleted it.
-bool LeaseKeeper::IsLate(const std::optional<LeaseRecord>& record,
-                         const StoreRevision& version,
-                         bool fresh) const {
+// An answer may be older than what this process has since read or written. A fresh read that finds
+// no object is trusted: the object was deleted.
+bool LeaseKeeper::IsOutdated(const std::optional<LeaseRecord>& record,
+                             const StoreRevision& version,
+                             bool fresh) const {
   if (!version_ || version >= *version_) {
     return false;
   }
@@ -80,15 +81,15 @@
                        bool fresh,
                        TimePoint now) {
   if (!record && !fresh && version_ != version) {
-    MissedByStaleRead(version, now);
+    HandleStaleMiss(version, now);
     return true;
   }
-  if (IsLate(record, version, fresh)) {
+  if (IsOutdated(record, version, fresh)) {
     return false;
   }
-  // Who holds the lease may be learned from any read: it is taken only after a fresh one.
-  const bool first_sight = !version_ && record.has_value();
-  needs_read_ = needs_read_ && !fresh && !first_sight;
+  // Any read may identify the holder; the lease is acquired only after a fresh read.
+  const bool first_read = !version_ && record.has_value();
+  needs_read_ = needs_read_ && !fresh && !first_read;
   if (version_ == version) {
     last_seen_ = now;
     read_fresh_at_ = fresh ? now : read_fresh_at_;
@@ -98,20 +99,20 @@
   const bool same_era = version_ && version_->Era() == version.Era();
   const bool changed_in_era = same_era && version > *version_;
   store_is_new_ = store_is_new_ && (same_era || !version_);
-  // A holder writes on what it has read freshly.
+  // A holder writes only on the basis of a fresh read.
   needs_read_ = needs_read_ || (holding_ && !same_era && !fresh);
   version_ = version;
   version_certain_ = fresh;
   first_seen_ = now;
   last_seen_ = now;
   read_fresh_at_ = fresh ? now : TimePoint();
-  Take(record.value_or(LeaseRecord()), changed_in_era);
+  ApplyRecord(record.value_or(LeaseRecord()), changed_in_era);
   handing_over_ = handing_over_ && holding_;
   return true;
 }
 
-// It may just be older than the object; of a later era it tells that what is known may be gone.
-void LeaseKeeper::MissedByStaleRead(const StoreRevision& version, TimePoint now) {
+// The read may predate the object. If it is from a later era, known writes may be lost.
+void LeaseKeeper::HandleStaleMiss(const StoreRevision& version, TimePoint now) {
   needs_read_ = needs_read_ || (version_ && version.Era() > version_->Era());
   if (!holding_) {
     first_seen_ = now;
@@ -119,23 +120,24 @@
   }
 }
 
-void LeaseKeeper::Take(const LeaseRecord& record, bool changed_in_era) {
+void LeaseKeeper::ApplyRecord(const LeaseRecord& record, bool changed_in_era) {
   const std::uint64_t era = version_->Era();
-  const bool none_yet = record.holder.empty() && store_is_new_;
-  // A program that tells no era has written the record in this one if it was seen to change.
+  const bool never_held = record.holder.empty() && store_is_new_;
+  // A record without an era was written in the current one if it was seen to change in it.
   const bool written_in_era =
-      era == 0 || none_yet || (record.era ? *record.era == era : changed_in_era);
-  may_lack_ = !written_in_era;
-  if (may_lack_) {
-    TakeCopy(record);
+      era == 0 || never_held || (record.era ? *record.era == era : changed_in_era);
+  writes_may_be_lost_ = !written_in_era;
+  if (writes_may_be_lost_) {
+    ApplyOldRecord(record);
     return;
   }
   record_ = record;
-  holding_ = IsMine(record) && !record.released;
+  holding_ = IsOwnRecord(record) && !record.released;
   if (!holding_) {
     return;
   }
-  // A write whose answer was lost took effect: its time counts from when it was begun.
+  // The write took effect although its answer was lost; its lease counts from the start of the
+  // write.
   const auto started = write_starts_.find(record_.renewals);
   holding_ = started != write_starts_.end();
   if (holding_) {
@@ -143,14 +145,14 @@
   }
 }
 
-// What this process knows of later writes is still so. Its own lease neither begins nor lasts
-// longer for what a copy says.
-void LeaseKeeper::TakeCopy(const LeaseRecord& record) {
+// What this process knows of later writes remains valid. A restored copy neither starts nor extends
+// its own lease.
+void LeaseKeeper::ApplyOldRecord(const LeaseRecord& record) {
   if (IsOlder(record, record_)) {
     return;
   }
   record_ = record;
-  holding_ = holding_ && IsMine(record) && !record.released;
+  holding_ = holding_ && IsOwnRecord(record) && !record.released;
 }
 
 void LeaseKeeper::Unread(TimePoint now) {
@@ -171,52 +173,56 @@
   if (!holding_) {
     return {};
   }
-  // What a write under way leaves out may be ordered no more: it may have taken effect.
-  return writing_ ? Common(record_.own, writing_->record.own) : record_.own;
+  // Endpoints omitted by a write in progress may receive no more orders, because the write may have
+  // taken effect.
+  return pending_write_ ? Common(record_.own, pending_write_->record.own) : record_.own;
 }
 
-Duration LeaseKeeper::Patience() const {
-  return (may_lack_ ? std::max(lost_after_, suspect_after_) : suspect_after_) + more_yield_;
+Duration LeaseKeeper::TakeoverDelay() const {
+  return (writes_may_be_lost_ ? std::max(lost_record_timeout_, renewal_timeout_)
+                              : renewal_timeout_) +
+         extra_yield_;
 }
 
 bool LeaseKeeper::IsFree() const {
   // An earlier process on this machine counts as the same holder.
-  return !may_lack_ && (record_.holder.empty() || record_.holder == address_ || record_.released);
+  return !writes_may_be_lost_ &&
+         (record_.holder.empty() || record_.holder == address_ || record_.released);
 }
 
-bool LeaseKeeper::Suspects() const {
+bool LeaseKeeper::LooksAvailable() const {
   if (holding_ || !version_) {
     return false;
   }
-  return IsFree() || last_seen_ - first_seen_ >= Patience();
+  return IsFree() || last_seen_ - first_seen_ >= TakeoverDelay();
 }
 
-bool LeaseKeeper::Confirmed() const {
+bool LeaseKeeper::AvailabilityConfirmed() const {
   if (IsFree()) {
     return read_fresh_at_ != TimePoint();
   }
-  return read_fresh_at_ >= first_seen_ + Patience();
+  return read_fresh_at_ >= first_seen_ + TakeoverDelay();
 }
 
-bool LeaseKeeper::FreeForThisNode(TimePoint now) const {
+bool LeaseKeeper::YieldElapsed(TimePoint now) const {
   if (record_.holder.empty()) {
     return now - first_seen_ >= yield_;
   }
-  return !record_.released || now - first_seen_ >= yield_ + more_yield_;
+  return !record_.released || now - first_seen_ >= yield_ + extra_yield_;
 }
 
 bool LeaseKeeper::MustWrite(TimePoint now) const {
-  if (may_lack_ || GivesUp() || now >= valid_until_ - valid_for_ + renew_every_) {
+  if (writes_may_be_lost_ || IsReleasing() || now >= valid_until_ - valid_for_ + renew_every_) {
     return true;
   }
-  const bool tells_all = CoversAll(record_.own, wanted_own_) &&
-                         std::includes(record_.quarantined.begin(), record_.quarantined.end(),
-                                       quarantined_.begin(), quarantined_.end());
-  return now - write_started_at_ >= kBetweenAnnouncements && !tells_all;
+  const bool record_complete = CoversAll(record_.own, wanted_own_) &&
+                               std::includes(record_.quarantined.begin(), record_.quarantined.end(),
+                                             quarantined_.begin(), quarantined_.end());
+  return now - write_started_at_ >= kMinAnnouncementInterval && !record_complete;
 }
 
 bool LeaseKeeper::RenewalsFail(TimePoint now) const {
-  return Holds(now) && now >= valid_until_ - valid_for_ + renew_every_ + kRenewalLate;
+  return Holds(now) && now >= valid_until_ - valid_for_ + renew_every_ + kRenewalOverdueAfter;
 }
 
 std::uint64_t LeaseKeeper::NextEpoch() const {
@@ -224,21 +230,23 @@
   return std::max(record_.epoch + 1, first_of_era);
 }
 
-FormerLease LeaseKeeper::FormerOf(const LeaseRecord& record) const {
+FormerLease LeaseKeeper::FormerLeaseOf(const LeaseRecord& record) const {
   FormerLease former;
-  // Whose record may be gone has been waited for until its time was over; a holder that kept off
-  // all endpoints may have given the lease up before.
-  const bool time_is_over = may_lack_ || (record.released && !record.inherited_all);
-  former.rest = bound_ + kMargin + (time_is_over ? Duration(0) : valid_for_);
+  // If the record may be lost, this node has already waited until its lease expired. A holder that
+  // avoided all endpoints may have released the lease early.
+  const bool lease_expired = writes_may_be_lost_ || (record.released && !record.inherited_all);
+  former.rest = bound_ + kConnectMargin + (lease_expired ? Duration(0) : valid_for_);
   former.inherited = record.inherited;
-  former.inherited_all = record.inherited_all || may_lack_ || (!record.era && version_->Era() > 0);
+  former.inherited_all =
+      record.inherited_all || writes_may_be_lost_ || (!record.era && version_->Era() > 0);
   former.low_balances = record.low_balances;
   former.quarantined = record.quarantined;
   if (record.holder.empty()) {
     return former;
   }
-  // Others may have held the lease after this machine did, and ordered what it had announced.
-  if (record.holder == address_ && !may_lack_) {
+  // If writes may be lost, others may have held the lease after this machine and sent orders to
+  // endpoints it had announced.
+  if (record.holder == address_ && !writes_may_be_lost_) {
     former.who = FormerHolder::kThisNode;
     former.own = record.own;
     return former;
@@ -251,7 +259,7 @@
 LeaseWrite LeaseKeeper::Renewal() const {
   LeaseWrite write{record_, *version_};
   ++write.record.renewals;
-  write.record.released = GivesUp();
+  write.record.released = IsReleasing();
   write.record.own = wanted_own_;
   write.record.inherited = wanted_inherited_;
   write.record.low_balances = low_balances_;
@@ -261,14 +269,14 @@
   return write;
 }
 
-// The holder goes on under a token of the new era. Another one, of which it had not heard yet, may
-// have ordered any endpoint but those that it had announced itself, and be sure of its lease for as
-// long as a lease lasts.
-LeaseWrite LeaseKeeper::TakeAnew() {
+// Continues to hold the lease under a token of the new era. An unknown later holder may have sent
+// orders to any endpoint except those that this holder announced, and may hold its lease for a full
+// lease duration.
+LeaseWrite LeaseKeeper::Reacquire() {
   former_ = FormerLease();
   former_.who = FormerHolder::kThisProcess;
   former_.inherited_all = true;
-  former_.rest = valid_for_ + bound_ + kMargin;
+  former_.rest = valid_for_ + bound_ + kConnectMargin;
   wanted_inherited_all_ = true;
   LeaseWrite write = Renewal();
   write.record.epoch = NextEpoch();
@@ -276,7 +284,7 @@
 }
 
 LeaseWrite LeaseKeeper::TakeOver() {
-  former_ = FormerOf(record_);
+  former_ = FormerLeaseOf(record_);
   wanted_own_ = former_.own;
   wanted_inherited_ = former_.inherited;
   wanted_inherited_all_ = former_.inherited_all;
@@ -298,62 +306,65 @@
 }
 
 std::optional<LeaseWrite> LeaseKeeper::NextWrite(TimePoint now) {
-  if (writing_ || needs_read_ || !version_) {
+  if (pending_write_ || needs_read_ || !version_) {
     return std::nullopt;
   }
-  // Its condition tells nothing of what happened before the store came back.
-  if (holding_ && may_lack_ && now >= valid_until_) {
+  // The write condition does not protect against writes lost in the restore, so an expired lease is
+  // given up.
+  if (holding_ && writes_may_be_lost_ && now >= valid_until_) {
     holding_ = false;
     handing_over_ = false;
   }
   if (holding_ && !MustWrite(now)) {
     return std::nullopt;
   }
-  if (!holding_ && (stopping_ || !Suspects() || !Confirmed() || !FreeForThisNode(now))) {
+  if (!holding_ &&
+      (stopping_ || !LooksAvailable() || !AvailabilityConfirmed() || !YieldElapsed(now))) {
     return std::nullopt;
   }
   if (holding_) {
-    writing_ = may_lack_ ? TakeAnew() : Renewal();
+    pending_write_ = writes_may_be_lost_ ? Reacquire() : Renewal();
   } else {
-    writing_ = TakeOver();
+    pending_write_ = TakeOver();
   }
   write_started_at_ = now;
-  write_starts_[writing_->record.renewals] = now;
-  while (write_starts_.size() > kWriteStartsKept) {
+  write_starts_[pending_write_->record.renewals] = now;
+  while (write_starts_.size() > kMaxWriteStarts) {
     write_starts_.erase(write_starts_.begin());
   }
-  return writing_;
+  return pending_write_;
 }
 
 void LeaseKeeper::Written(const StoreRevision& version, TimePoint now) {
-  if (!writing_) {
+  if (!pending_write_) {
     return;
   }
-  // The store has come back in between and holds the object at a revision that it has given out
-  // twice: the condition was one on something else.
+  // The store was restored in the meantime and has reissued the revision, so the write condition
+  // matched a different object.
   const bool same_era =
-      version.Era() == writing_->version.Era() && version.Era() == version_->Era();
+      version.Era() == pending_write_->version.Era() && version.Era() == version_->Era();
   if (!same_era) {
     WriteFailed();
     return;
   }
-  record_ = writing_->record;
+  record_ = pending_write_->record;
   version_ = version;
   version_certain_ = true;
-  may_lack_ = false;
+  writes_may_be_lost_ = false;
   first_seen_ = now;
-  writing_.reset();
+  pending_write_.reset();
   holding_ = !record_.released;
   handing_over_ = handing_over_ && holding_;
   valid_until_ = write_starts_[record_.renewals] + valid_for_;
 }
 
 void LeaseKeeper::WriteFailed() {
-  // It may have taken effect: only what both versions name may be ordered until that is known.
-  if (writing_ && holding_) {
-    record_.own = Common(record_.own, writing_->record.own);
+  // The write may have taken effect: until that is known, only endpoints listed in both versions
+  // may receive orders.
+  if (pending_write_ && holding_) {
+    record_.own = Common(record_.own, pending_write_->record.own);
   }
-  writing_.reset();
+  pending_write_.reset();
   needs_read_ = true;
 }
 
--- a/src/rudderloom/placement/lease_keeper_test.cpp
+++ b/src/rudderloom/placement/lease_keeper_test.cpp
@@ -18,7 +18,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-TEST_CASE("the first node takes the lease and keeps it; another one doesn't get it") {
+TEST_CASE("the first node acquires and keeps the lease, and a second node does not get it") {
   LeaseObject store;
   LeaseKeeper first("a:1", "x", kBound);
   LeaseKeeper second("b:1", "y", kBound);
@@ -33,15 +33,15 @@
 }
 
 TEST_CASE(
-    "a node with little processor time lets others take the lease first, but takes it alone") {
-  const Duration weak = YieldTime(0.12);
-  const Duration strong = YieldTime(0.5);
-  CHECK(weak > 3 * strong);
-  CHECK(weak <= Duration(400));
+    "a node with little processor time yields the lease to others, but acquires it when alone") {
+  const Duration weak_yield = YieldTime(0.12);
+  const Duration strong_yield = YieldTime(0.5);
+  CHECK(weak_yield > 3 * strong_yield);
+  CHECK(weak_yield <= Duration(400));
   LeaseObject store;
-  LeaseKeeper small("a:1", "x", kBound, weak);
-  LeaseKeeper large("b:1", "y", kBound, strong);
-  LeaseKeeper other_large("c:1", "z", kBound, strong);
+  LeaseKeeper small("a:1", "x", kBound, weak_yield);
+  LeaseKeeper large("b:1", "y", kBound, strong_yield);
+  LeaseKeeper other_large("c:1", "z", kBound, strong_yield);
   int ms = 0;
   for (; ms < 1'000; ms += 50) {
     Step(small, store, At(ms));
@@ -49,21 +49,21 @@
     Step(other_large, store, At(ms));
   }
   REQUIRE(large.Holds(At(ms)));
-  // The holder is dead from here on.
+  // The holder stops responding here.
   for (; ms < 6'000; ms += 50) {
     Step(small, store, At(ms));
     Step(other_large, store, At(ms));
   }
   CHECK(other_large.Holds(At(ms)));
   LeaseObject own_store;
-  LeaseKeeper alone("e:1", "v", kBound, weak);
+  LeaseKeeper alone("e:1", "v", kBound, weak_yield);
   for (ms = 0; ms <= 600; ms += 50) {
     Step(alone, own_store, At(ms));
   }
   CHECK(alone.Holds(At(ms)));
 }
 
-TEST_CASE("a node that knows of standbys lets them go first, and takes over when none does") {
+TEST_CASE("a node that knows of standbys yields to them, and takes over when none does") {
   LeaseObject store;
   LeaseKeeper holder("a:1", "x", kBound);
   LeaseKeeper standby("b:1", "y", kBound);
@@ -74,28 +74,28 @@
   for (; ms < 1'000; ms += 50) {
     Step(other, store, At(ms));
   }
-  // The standby saw the renewal 400 ms later than the other node, and is ahead all the same.
-  LeaseKeeper late("d:1", "w", kBound);
-  for (ms = 0; ms < 4'000 && !late.Holds(At(ms)); ms += 50) {
+  // The standby reads the renewal 400 ms later than the other node and still takes the lease first.
+  LeaseKeeper late_standby("d:1", "w", kBound);
+  for (ms = 0; ms < 4'000 && !late_standby.Holds(At(ms)); ms += 50) {
     Step(other, store, At(ms));
     if (ms >= 400) {
-      Step(late, store, At(ms));
+      Step(late_standby, store, At(ms));
     }
   }
-  CHECK(late.Holds(At(ms)));
-  LeaseObject lonely;
-  Step(holder, lonely, At(0));
-  LeaseKeeper only("e:1", "v", kBound);
-  only.YieldFor(Duration(1'000));
-  lonely.record = LeaseRecord{"a:1", "x", 1, 1, false, {}, {}, {}};
-  for (ms = 0; ms < 4'000 && !only.Holds(At(ms)); ms += 50) {
-    Step(only, lonely, At(ms));
+  CHECK(late_standby.Holds(At(ms)));
+  LeaseObject lone_store;
+  Step(holder, lone_store, At(0));
+  LeaseKeeper lone_node("e:1", "v", kBound);
+  lone_node.YieldFor(Duration(1'000));
+  lone_store.record = LeaseRecord{"a:1", "x", 1, 1, false, {}, {}, {}};
+  for (ms = 0; ms < 4'000 && !lone_node.Holds(At(ms)); ms += 50) {
+    Step(lone_node, lone_store, At(ms));
   }
-  CHECK(only.Holds(At(ms)));
+  CHECK(lone_node.Holds(At(ms)));
   CHECK(ms > 2'400);
 }
 
-TEST_CASE("a holder whose renewals do not come through says so before its time is over") {
+TEST_CASE("a holder reports failing renewals before its lease expires") {
   LeaseObject store;
   LeaseKeeper holder("a:1", "x", kBound);
   Step(holder, store, At(0));
@@ -113,7 +113,9 @@
   CHECK(holder.Holds(At(failing)));
 }
 
-TEST_CASE("a dead holder's lease passes on soon; what it may have ordered rests for the bound") {
+TEST_CASE(
+    "a dead holder's lease is taken over soon, and its announced endpoints are blocked for the "
+    "bound") {
   LeaseObject store;
   LeaseKeeper first("a:1", "x", kBound);
   LeaseKeeper second("b:1", "y", kBound);
@@ -134,12 +136,12 @@
   CHECK(second.Former().who == FormerHolder::kOtherNode);
   CHECK(second.Former().inherited == OrderScopes{{"e1", OrderScope::kWeightStore}});
   CHECK(At(taken) + second.Former().rest - last_order >= kBound);
-  // The former holder comes back: its renewal fails, and it learns of the other.
+  // The former holder returns: its renewal fails, and it learns of the new holder.
   Step(first, store, At(taken));
   CHECK_FALSE(first.Holds(At(taken)));
 }
 
-TEST_CASE("a holder that renews in time is never deposed, however stale the reads are") {
+TEST_CASE("a holder that renews in time keeps the lease, however stale other nodes' reads are") {
   LeaseObject store;
   LeaseKeeper holder("a:1", "x", kBound);
   LeaseKeeper other("b:1", "y", kBound);
@@ -156,7 +158,7 @@
   CHECK(holder.Epoch() == 1);
 }
 
-TEST_CASE("a write under way allows only what both it and the record name") {
+TEST_CASE("during a write, orders are allowed only to endpoints in both the record and the write") {
   LeaseObject store;
   LeaseKeeper keeper("a:1", "x", kBound);
   Step(keeper, store, At(0));
@@ -171,7 +173,7 @@
   CHECK(keeper.Announced() == OrderScopes{{"e2", OrderScope::kWeightStore}});
 }
 
-TEST_CASE("a frozen holder does not order after it wakes") {
+TEST_CASE("a holder that was frozen sends no orders after it resumes") {
   LeaseObject store;
   LeaseKeeper holder("a:1", "x", kBound);
   Step(holder, store, At(0));
@@ -179,17 +181,20 @@
   CHECK_FALSE(holder.Holds(At(6'000)));
 }
 
-TEST_CASE("a restarted process on the holder's machine goes on at once under a higher epoch") {
+TEST_CASE(
+    "a restarted process on the holder's machine acquires the lease at once under a higher epoch") {
   LeaseObject store;
   LeaseKeeper first("a:1", "x", kBound);
   Step(first, store, At(0));
-  LeaseKeeper again("a:1", "z", kBound);
-  Step(again, store, At(500));
-  CHECK(again.Holds(At(500)));
-  CHECK(again.Epoch() == 2);
+  LeaseKeeper restarted("a:1", "z", kBound);
+  Step(restarted, store, At(500));
+  CHECK(restarted.Holds(At(500)));
+  CHECK(restarted.Epoch() == 2);
 }
 
-TEST_CASE("a released lease passes on at once; what was ordered last rests for the bound") {
+TEST_CASE(
+    "a released lease is acquired at once, and recently announced endpoints are blocked for the "
+    "bound") {
   LeaseObject store;
   LeaseKeeper first("a:1", "x", kBound);
   LeaseKeeper second("b:1", "y", kBound);
@@ -206,8 +211,7 @@
   CHECK(second.Former().rest >= kBound);
 }
 
-TEST_CASE(
-    "a lease that was handed over may be taken again by the same process, under a new epoch") {
+TEST_CASE("the process that handed over a lease may acquire it again, under a new epoch") {
   LeaseObject store;
   LeaseKeeper keeper("a:1", "x", kBound);
   Step(keeper, store, At(0));
@@ -225,7 +229,7 @@
   CHECK(keeper.Epoch() == 2);
 }
 
-TEST_CASE("a write whose answer was lost counts from when it was begun") {
+TEST_CASE("a lease write whose answer was lost counts from the start of the write") {
   LeaseObject store;
   LeaseKeeper keeper("a:1", "x", kBound);
   keeper.Seen(store.record, store.Version(), true, At(0));
@@ -240,7 +244,7 @@
   CHECK(keeper.ValidUntil() == At(0) + kBound * 5 / 6);
 }
 
-// One node with its lease and what it announces; orders whatever it may.
+// A node with its lease and announcements, which sends every order it may.
 struct OrderingNode {
   OrderingNode(const std::string& address, Duration bound)
       : lease(address, "x", bound), announcements(bound, kLoadWindow) {}
@@ -253,8 +257,8 @@
 };
 
 TEST_CASE(
-    "of many nodes with lost answers, late writes, freezes and handovers, two never order one "
-    "endpoint within the bound") {
+    "two nodes never send orders to one endpoint within the bound, despite lost answers, late "
+    "writes, freezes and handovers") {
   constexpr int kNodes = 5;
   constexpr int kEndpoints = 6;
   int orders = 0;
@@ -264,7 +268,7 @@
     LeaseObject store;
     std::vector<OrderingNode> nodes;
     nodes.reserve(kNodes);
-    std::vector<std::pair<int, LeaseWrite>> late;
+    std::vector<std::pair<int, LeaseWrite>> late_writes;
     for (int i = 0; i < kNodes; ++i) {
       nodes.emplace_back(std::to_string(i) + ":1", kBound);
     }
@@ -276,7 +280,7 @@
     std::vector<LastOrder> last(kEndpoints);
     for (int ms = 0; ms < 60'000; ms += 50) {
       const TimePoint now = At(ms);
-      std::erase_if(late, [&](const auto& write) {
+      std::erase_if(late_writes, [&](const auto& write) {
         return write.first <= ms ? (store.Put(write.second), true) : false;
       });
       for (int i = 0; i < kNodes; ++i) {
@@ -319,15 +323,15 @@
           continue;
         }
         switch (random() % 10) {
-          case 0:  // lost before it took effect
+          case 0:  // lost before taking effect
             keeper.WriteFailed();
             break;
-          case 1:  // took effect, its answer was lost
+          case 1:  // took effect, but the answer was lost
             store.Put(*write);
             keeper.WriteFailed();
             break;
-          case 2:  // takes effect seconds later, if it still may
-            late.emplace_back(ms + static_cast<int>(random() % 6'000), *write);
+          case 2:  // takes effect seconds later if its condition still holds
+            late_writes.emplace_back(ms + static_cast<int>(random() % 6'000), *write);
             keeper.WriteFailed();
             break;
           default:
@@ -345,7 +349,7 @@
   CHECK(orders > 40 * 100);
 }
 
-TEST_CASE("a new holder learns the low balances that the one before wrote down") {
+TEST_CASE("a new holder reads the low balances that the previous holder recorded") {
   LeaseObject object;
   LeaseKeeper first("a:1", "x", kBound);
   int ms = 0;
--- a/src/rudderloom/placement/lease_model_test.cpp
+++ b/src/rudderloom/placement/lease_model_test.cpp
@@ -1,6 +1,6 @@
-// Explores the lease and the announcements of orders exhaustively in small bounds: two nodes, one
-// endpoint, every schedule of a few faults, one a step. The product's own state machines are
-// driven; only the platform's object and the passing of time are modelled.
+// Exhaustive model check of the lease and the order announcements within small bounds: two nodes,
+// one endpoint, and every schedule of a few faults, at most one per step. Runs the production state
+// machines; only the stored object and the passing of time are modelled.
 #include <doctest/doctest.h>  // for TEST_CASE
 #include <array>              // for array
 #include <cstdlib>            // for getenv
@@ -22,42 +22,43 @@
 constexpr int kNodes = 2;
 constexpr const char* kEndpoint = "e1";
 
-// What befalls one node from one step on.
+// Fault injected into one node at a given step.
 enum class FaultKind {
-  kStill,         // does nothing for four steps
-  kStillLong,     // does nothing for ten steps, longer than the lease and the bound
-  kCutFromStore,  // for sixteen steps its calls to the store fail; it reaches the endpoint
-  kAnswerLost,    // its next write takes effect, and it does not hear so
-  kAnswerSlow,    // its next write takes effect, and it hears so nine steps later
-  kWriteLate,     // its next write takes effect four steps later, and it hears that it failed
-  kNoOrders,      // has nothing to order for ten steps, longer than the bound
-  kHandOver,      // it gives the lease up, if it holds it
-  kRestart,       // another process on the same machine, which knows nothing
-  kRestored,      // the store comes back as it was one step before
-  kRestoredOld,   // the store comes back as it was five steps before
-  kRestoredNone,  // the store comes back as it was before the first lease
+  kPaused,            // paused for four steps
+  kPausedLong,        // paused for ten steps, longer than the lease and the bound
+  kStoreUnreachable,  // store calls fail for sixteen steps; the endpoint stays reachable
+  kAnswerLost,        // next write takes effect, but the answer is lost
+  kAnswerSlow,        // next write takes effect, and the answer arrives nine steps later
+  kWriteLate,         // next write is reported as failed and takes effect four steps later
+  kNoOrders,          // sends no orders for ten steps, longer than the bound
+  kHandOver,          // releases the lease if it holds it
+  kRestart,           // new process on the same machine, without state
+  kRestored,          // store restored to its state one step earlier
+  kRestoredOld,       // store restored to its state five steps earlier
+  kRestoredNone,      // store restored to its state before the first lease
 };
-constexpr std::array kFaults = {std::pair{FaultKind::kStill, "still"},
-                                std::pair{FaultKind::kStillLong, "still for long"},
-                                std::pair{FaultKind::kCutFromStore, "cut from the store"},
-                                std::pair{FaultKind::kAnswerLost, "answer lost"},
-                                std::pair{FaultKind::kAnswerSlow, "answer slow"},
-                                std::pair{FaultKind::kWriteLate, "write late"},
-                                std::pair{FaultKind::kNoOrders, "no orders"},
-                                std::pair{FaultKind::kHandOver, "hand over"},
-                                std::pair{FaultKind::kRestart, "restart"},
-                                std::pair{FaultKind::kRestored, "restored"},
-                                std::pair{FaultKind::kRestoredOld, "restored from an old copy"},
-                                std::pair{FaultKind::kRestoredNone, "restored from the start"}};
+constexpr std::array kFaults = {
+    std::pair{FaultKind::kPaused, "paused"},
+    std::pair{FaultKind::kPausedLong, "paused for long"},
+    std::pair{FaultKind::kStoreUnreachable, "store unreachable"},
+    std::pair{FaultKind::kAnswerLost, "answer lost"},
+    std::pair{FaultKind::kAnswerSlow, "answer slow"},
+    std::pair{FaultKind::kWriteLate, "write late"},
+    std::pair{FaultKind::kNoOrders, "no orders"},
+    std::pair{FaultKind::kHandOver, "handover"},
+    std::pair{FaultKind::kRestart, "restart"},
+    std::pair{FaultKind::kRestored, "restored"},
+    std::pair{FaultKind::kRestoredOld, "restored from an old copy"},
+    std::pair{FaultKind::kRestoredNone, "restored to the initial state"}};
 
 struct Fault {
   int step = 0;
   int node = 0;
-  FaultKind kind = FaultKind::kStill;
+  FaultKind kind = FaultKind::kPaused;
   const char* name = "";
 };
 
-// A write that took effect and of which its node has not heard yet.
+// A write that took effect, but whose answer the node has not received yet.
 struct SlowAnswer {
   int step = 0;
   StoreRevision version;
@@ -70,13 +71,13 @@
   LeaseKeeper lease;
   OrderAnnouncements announcements;
   std::uint64_t held_epoch = 0;
-  int still_until = 0;
-  int cut_until = 0;
+  int paused_until = 0;
+  int disconnected_until = 0;
   int idle_until = 0;
   bool loses_answer = false;
   bool slow_answer = false;
   bool writes_late = false;
-  std::optional<SlowAnswer> awaited;
+  std::optional<SlowAnswer> pending_answer;
 };
 
 struct LateWrite {
@@ -84,26 +85,26 @@
   LeaseWrite write;
 };
 
-// One run of a schedule, step by step.
-class Run {
+// Simulates one schedule step by step.
+class ScheduleRun {
  public:
-  Run() {
+  ScheduleRun() {
     for (int i = 0; i < kNodes; ++i) {
       nodes_.emplace_back(AddressOf(i), 0);
     }
   }
 
-  void Strike(const Fault& fault) {
+  void Inject(const Fault& fault) {
     Node& node = nodes_[fault.node];
     switch (fault.kind) {
-      case FaultKind::kStill:
-        node.still_until = step_ + 4;
+      case FaultKind::kPaused:
+        node.paused_until = step_ + 4;
         break;
-      case FaultKind::kStillLong:
-        node.still_until = step_ + 10;
+      case FaultKind::kPausedLong:
+        node.paused_until = step_ + 10;
         break;
-      case FaultKind::kCutFromStore:
-        node.cut_until = step_ + 16;
+      case FaultKind::kStoreUnreachable:
+        node.disconnected_until = step_ + 16;
         break;
       case FaultKind::kAnswerLost:
         node.loses_answer = true;
@@ -135,7 +136,7 @@
     }
   }
 
-  // Lets each node do its work of one step.
+  // Runs one step of every node.
   void Step() {
     now_ += kStep;
     copies_.push_back(store_);
@@ -143,17 +144,17 @@
       return late.step <= step_ ? (store_.Put(late.write), true) : false;
     });
     for (int i = 0; i < kNodes; ++i) {
-      if (step_ >= nodes_[i].still_until) {
-        Work(i);
+      if (step_ >= nodes_[i].paused_until) {
+        RunNode(i);
       }
     }
     ++step_;
   }
 
-  int At() const { return step_; }
-  bool Broken() const { return broken_; }
+  int CurrentStep() const { return step_; }
+  bool Violated() const { return violated_; }
   int Orders() const { return orders_; }
-  // Holders in the present era of the store.
+  // Number of holders in the store's current era.
   std::uint64_t HoldersOfEra() const {
     constexpr std::uint64_t kWithinEra = (1U << 20U) - 1;
     return store_.record ? store_.record->epoch & kWithinEra : 0;
@@ -164,7 +165,7 @@
     return std::string(1, static_cast<char>('a' + node)) + ":1";
   }
 
-  // Revisions go back and are given out again; the era rises.
+  // Revisions go back and are reissued; the era increases.
   void Restore(int steps) {
     const int kept = static_cast<int>(copies_.size()) - steps;
     const std::uint64_t era = store_.era;
@@ -173,46 +174,46 @@
     copies_.assign(1, store_);
   }
 
-  void Work(int index) {
+  void RunNode(int index) {
     Node& node = nodes_[index];
-    const bool cut = step_ < node.cut_until;
-    // Orders on what it believes, before it hears anything new.
+    const bool disconnected = step_ < node.disconnected_until;
+    // Sends orders on its current knowledge before any new information arrives.
     Order(index);
-    if (node.awaited && step_ >= node.awaited->step) {
-      node.lease.Written(node.awaited->version, now_);
-      node.awaited.reset();
+    if (node.pending_answer && step_ >= node.pending_answer->step) {
+      node.lease.Written(node.pending_answer->version, now_);
+      node.pending_answer.reset();
     }
-    if (cut) {
+    if (disconnected) {
       node.lease.Unread(now_);
     } else {
       node.lease.Seen(store_.record, store_.Version(), true, now_);
     }
-    Write(node, cut);
+    Write(node, disconnected);
     Order(index);
   }
 
-  void Write(Node& node, bool cut) {
+  void Write(Node& node, bool disconnected) {
     if (node.lease.Holds(now_)) {
-      Adopt(node);
+      ResetAnnouncements(node);
       node.lease.Announce(node.announcements.Own(now_), node.announcements.Inherited(now_));
     }
     const auto write = node.lease.NextWrite(now_);
     if (!write) {
       return;
     }
-    if (!cut && node.slow_answer && store_.Put(*write)) {
+    if (!disconnected && node.slow_answer && store_.Put(*write)) {
       node.slow_answer = false;
-      node.awaited = SlowAnswer{step_ + 9, store_.Version()};
+      node.pending_answer = SlowAnswer{step_ + 9, store_.Version()};
       return;
     }
-    if (!cut && Send(node, *write)) {
+    if (!disconnected && Send(node, *write)) {
       node.lease.Written(store_.Version(), now_);
     } else {
       node.lease.WriteFailed();
     }
   }
 
-  // True when the write takes effect and the node hears so.
+  // Returns true if the write takes effect and the node receives the answer.
   bool Send(Node& node, const LeaseWrite& write) {
     if (std::exchange(node.loses_answer, false)) {
       store_.Put(write);
@@ -225,8 +226,8 @@
     return store_.Put(write);
   }
 
-  // A new holder takes its predecessor's announcements over before all else.
-  void Adopt(Node& node) const {
+  // A new holder takes over its predecessor's announcements before doing anything else.
+  void ResetAnnouncements(Node& node) const {
     if (node.held_epoch != node.lease.Epoch()) {
       node.announcements.Reset(node.lease.Former(), now_);
       node.held_epoch = node.lease.Epoch();
@@ -238,14 +239,15 @@
     if (!node.lease.Holds(now_) || step_ < node.idle_until) {
       return;
     }
-    Adopt(node);
+    ResetAnnouncements(node);
     if (!node.announcements.MayOrder(kEndpoint, OrderScope::kLocal, node.lease.Announced(), now_)) {
       return;
     }
     node.announcements.Ordered(kEndpoint, OrderScope::kLocal, now_);
     ++orders_;
-    const bool turn = ordered_by_ >= 0 && ordered_by_ != index;
-    broken_ = broken_ || (turn && now_ - ordered_at_ < kBound) || node.lease.Epoch() < order_epoch_;
+    const bool other_node = ordered_by_ >= 0 && ordered_by_ != index;
+    violated_ = violated_ || (other_node && now_ - ordered_at_ < kBound) ||
+                node.lease.Epoch() < order_epoch_;
     ordered_by_ = index;
     ordered_at_ = now_;
     order_epoch_ = node.lease.Epoch();
@@ -253,7 +255,7 @@
 
   std::vector<Node> nodes_;
   LeaseObject store_;
-  std::vector<LeaseObject> copies_;  // of the store, by step
+  std::vector<LeaseObject> copies_;  // of the store, one per step
   std::vector<LateWrite> late_;
   TimePoint now_ = TimePoint(std::chrono::hours(1));
   int step_ = 0;
@@ -261,66 +263,66 @@
   TimePoint ordered_at_;
   std::uint64_t order_epoch_ = 0;
   int orders_ = 0;
-  bool broken_ = false;
+  bool violated_ = false;
 };
 
-// Walks through all schedules that go on from a run with up to `left` further faults.
+// Explores all schedules that extend a run by up to `remaining` further faults.
 struct Explorer {
-  void Explore(const Run& run, int left) {
-    if (run.Broken()) {
-      ++broken;
-      Tell();
+  void Explore(const ScheduleRun& run, int remaining) {
+    if (run.Violated()) {
+      ++violations;
+      LogViolation();
       return;
     }
-    if (run.At() == kSteps) {
+    if (run.CurrentStep() == kSteps) {
       ++schedules;
       orders += run.Orders();
       most_holders = std::max(most_holders, run.HoldersOfEra());
       return;
     }
-    Run calm = run;
-    calm.Step();
-    Explore(calm, left);
-    for (int node = 0; left > 0 && node < kNodes; ++node) {
+    ScheduleRun unfaulted = run;
+    unfaulted.Step();
+    Explore(unfaulted, remaining);
+    for (int node = 0; remaining > 0 && node < kNodes; ++node) {
       for (const auto& [kind, name] : kFaults) {
-        const Fault fault{run.At(), node, kind, name};
-        Run struck = run;
-        struck.Strike(fault);
-        struck.Step();
+        const Fault fault{run.CurrentStep(), node, kind, name};
+        ScheduleRun faulted = run;
+        faulted.Inject(fault);
+        faulted.Step();
         trace.push_back(fault);
-        Explore(struck, left - 1);
+        Explore(faulted, remaining - 1);
         trace.pop_back();
       }
     }
   }
 
-  void Tell() {
-    if (broken > 3) {
+  void LogViolation() {
+    if (violations > 3) {
       return;
     }
     std::ostringstream text;
     for (const Fault& fault : trace) {
       text << " step " << fault.step << " node " << fault.node << ": " << fault.name << ";";
     }
-    MESSAGE("two nodes ordered the endpoint within the bound:", text.str());
+    MESSAGE("two nodes sent orders to the endpoint within the lease bound:", text.str());
   }
 
   std::vector<Fault> trace;
   long schedules = 0;
   long orders = 0;
-  long broken = 0;
+  long violations = 0;
   std::uint64_t most_holders = 0;
 };
 
-TEST_CASE("whatever few faults befall two nodes, they never order one endpoint within the bound") {
-  // More are explored by hand: each further fault takes some three hundred times as long.
-  const char* wanted = std::getenv("RUDDERLOOM_MODEL_FAULTS");
-  const int faults = wanted != nullptr ? std::atoi(wanted) : 2;
+TEST_CASE("two nodes never send orders to one endpoint within the bound under any few faults") {
+  // Larger fault counts are run manually: each additional fault takes about 300 times as long.
+  const char* configured = std::getenv("RUDDERLOOM_MODEL_FAULTS");
+  const int faults = configured != nullptr ? std::atoi(configured) : 2;
   Explorer explorer;
-  explorer.Explore(Run(), faults);
+  explorer.Explore(ScheduleRun(), faults);
   MESSAGE("schedules: ", explorer.schedules, ", orders: ", explorer.orders,
           ", most holders: ", explorer.most_holders);
-  CHECK(explorer.broken == 0);
+  CHECK(explorer.violations == 0);
   CHECK(explorer.schedules > 1'000);
   CHECK(explorer.orders > explorer.schedules * 5);
   CHECK(explorer.most_holders >= 3);
--- a/src/rudderloom/placement/lease_restore_test.cpp
+++ b/src/rudderloom/placement/lease_restore_test.cpp
@@ -1,4 +1,4 @@
-// What a store that comes back from an older copy does to the lease.
+// Tests the lease against a store that is restored from an older copy.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include "fakes/lease_object.hpp"                        // for LeaseObject
@@ -17,7 +17,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-// The store as it was when `copy` was made; its revisions are given out again.
+// Restores the store from `copy`; its revisions are reissued.
 void Restore(LeaseObject& store, const LeaseObject& copy) {
   const std::uint64_t era = store.era;
   store = copy;
@@ -25,7 +25,7 @@
 }
 
 TEST_CASE(
-    "a holder whose lease is gone takes it anew at once, and keeps off what others may order") {
+    "a holder whose lease record is lost reacquires it at once and avoids others' endpoints") {
   LeaseObject store;
   LeaseKeeper holder("a:1", "x", kBound);
   Step(holder, store, At(0));
@@ -44,7 +44,7 @@
   CHECK(store.record->era == 1);
 }
 
-TEST_CASE("a holder whose time is over does not go on for what a copy says") {
+TEST_CASE("an expired holder does not resume because of a restored copy") {
   LeaseObject store;
   LeaseKeeper first("a:1", "x", kBound);
   LeaseKeeper second("b:1", "y", kBound);
@@ -55,7 +55,7 @@
     Step(second, store, At(ms));
   }
   REQUIRE(second.Holds(At(ms)));
-  // The store forgets the second one, which goes on for what is left of its time.
+  // The store loses the second holder, whose lease remains valid until it expires.
   Restore(store, copy);
   for (; second.Holds(At(ms)); ms += 50) {
     Step(first, store, At(ms));
@@ -63,10 +63,11 @@
   }
 }
 
-TEST_CASE("whoever takes a lease that a copy may lack waits a term and keeps off all endpoints") {
+TEST_CASE(
+    "a node that takes a lease that may be missing from a copy waits and blocks all endpoints") {
   LeaseObject store;
-  LeaseKeeper lost("a:1", "x", kBound);
-  Step(lost, store, At(0));
+  LeaseKeeper lost_holder("a:1", "x", kBound);
+  Step(lost_holder, store, At(0));
   Restore(store, LeaseObject());
   LeaseKeeper next("b:1", "y", kBound);
   int ms = 100;
@@ -76,16 +77,16 @@
   CHECK(ms >= 2'500);
   CHECK(ms <= 3'500);
   CHECK(next.Former().inherited_all);
-  CHECK(next.Epoch() > lost.Epoch());
+  CHECK(next.Epoch() > lost_holder.Epoch());
   OrderAnnouncements announcements(kBound, Duration(5'000));
   announcements.Reset(next.Former(), At(ms));
-  CHECK(announcements.Resting("any", At(ms + 3'000)));
+  CHECK(announcements.IsBlocked("any", At(ms + 3'000)));
   CHECK(announcements.InheritedAll(At(ms + 3'000)));
-  CHECK_FALSE(announcements.Resting("any", At(ms + 4'000)));
+  CHECK_FALSE(announcements.IsBlocked("any", At(ms + 4'000)));
 }
 
-// The object has the revision that the write asks for, by chance, in another history.
-TEST_CASE("a write that takes effect in a later era than it was meant for takes no lease") {
+// The restored object happens to have the revision that the write expects, in a different history.
+TEST_CASE("a write that takes effect in a later era than intended does not acquire the lease") {
   LeaseObject store;
   LeaseKeeper keeper("a:1", "x", kBound);
   keeper.Seen(store.record, store.Version(), true, At(0));
@@ -107,7 +108,7 @@
   CHECK(keeper.Epoch() > write->record.epoch);
 }
 
-TEST_CASE("a record of a program that knows no eras tells who holds the lease, not what is lost") {
+TEST_CASE("a record without an era identifies the holder, but not what was lost") {
   LeaseObject store;
   store.era = 3;
   store.revision = 7;
--- a/src/rudderloom/placement/limited_engines.cpp
+++ b/src/rudderloom/placement/limited_engines.cpp
@@ -6,23 +6,24 @@
 
 namespace {
 
-// Part of its places that an engine must be able to fill each second for its models to count.
-constexpr double kLeastFilledPart = 0.25;
+// Fraction of its slots that an engine must be able to fill each second for its models to count.
+constexpr double kMinFilledFraction = 0.25;
 
-bool Limited(const PlanEngine& engine, std::uint32_t slots) {
-  return engine.requests_per_second && *engine.requests_per_second < kLeastFilledPart * slots;
+bool AcceptsFewRequests(const PlanEngine& engine, std::uint32_t slots) {
+  return engine.requests_per_second && *engine.requests_per_second < kMinFilledFraction * slots;
 }
 
 }  // namespace
 
-void LeaveLimitedOut(std::vector<PlanEngine>& engines, std::uint32_t slots) {
-  const bool all = std::all_of(engines.begin(), engines.end(),
-                               [&](const PlanEngine& engine) { return Limited(engine, slots); });
-  if (all) {
+void ExcludeLimitedEngines(std::vector<PlanEngine>& engines, std::uint32_t slots) {
+  const bool all_limited =
+      std::all_of(engines.begin(), engines.end(),
+                  [&](const PlanEngine& engine) { return AcceptsFewRequests(engine, slots); });
+  if (all_limited) {
     return;
   }
   for (PlanEngine& engine : engines) {
-    if (Limited(engine, slots)) {
+    if (AcceptsFewRequests(engine, slots)) {
       engine.copies_count = false;
       engine.takes_models = false;
       engine.takes_adapters = false;
--- a/src/rudderloom/placement/load_pacer.cpp
+++ b/src/rudderloom/placement/load_pacer.cpp
@@ -6,11 +6,11 @@
 
 namespace {
 
-// Orders take their time to arrive, and a few may be carried out late.
-constexpr double kUsedPart = 0.85;
-// Of the starts allowed, for models that nobody asks for now.
-constexpr double kInCasePart = 0.4;
-constexpr std::size_t kStartsKept = 4'096;
+// Leaves headroom because orders take time to arrive and a few are carried out late.
+constexpr double kUsableFraction = 0.85;
+// Fraction of the permitted starts available to models that are not being requested.
+constexpr double kSpeculativeFraction = 0.4;
+constexpr std::size_t kMaxRecordedStarts = 4'096;
 
 }  // namespace
 
@@ -25,16 +25,17 @@
                          LoadClass load_class,
                          TimePoint now) const {
   const double seconds = std::chrono::duration<double>(window_).count();
-  const double part = load_class == LoadClass::kInCase ? kInCasePart : 1.0;
-  const double most = std::max(1.0, loads_per_second * seconds * overshoot_ * kUsedPart * part);
-  const auto within = std::count_if(starts_.begin(), starts_.end(),
-                                    [&](TimePoint start) { return now - start < window_; });
-  return static_cast<double>(within) + static_cast<double>(pending) + 1.0 <= most;
+  const double fraction = load_class == LoadClass::kSpeculative ? kSpeculativeFraction : 1.0;
+  const double max_starts =
+      std::max(1.0, loads_per_second * seconds * overshoot_ * kUsableFraction * fraction);
+  const auto recent_starts = std::count_if(starts_.begin(), starts_.end(),
+                                           [&](TimePoint start) { return now - start < window_; });
+  return static_cast<double>(recent_starts) + static_cast<double>(pending) + 1.0 <= max_starts;
 }
 
 void LoadPacer::Started(TimePoint now) {
   starts_.push_back(now);
-  if (starts_.size() > kStartsKept) {
+  if (starts_.size() > kMaxRecordedStarts) {
     starts_.pop_front();
   }
 }
--- a/src/rudderloom/placement/order_announcements.cpp
+++ b/src/rudderloom/placement/order_announcements.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-// A wish that is not renewed is dropped: the plan has changed.
-constexpr Duration kWishFor{600};
+// A requested announcement that is not renewed is dropped, because the plan has changed.
+constexpr Duration kRequestLifetime{600};
 
 }  // namespace
 
 OrderAnnouncements::OrderAnnouncements(Duration lease_bound, Duration load_window)
     : lease_bound_(lease_bound), load_window_(load_window) {}
 
-Duration OrderAnnouncements::KeepFor(OrderScope scope) const {
+Duration OrderAnnouncements::RetentionTime(OrderScope scope) const {
   return scope == OrderScope::kWeightStore ? std::max(lease_bound_, load_window_) : lease_bound_;
 }
 
@@ -39,33 +39,33 @@
 
 void OrderAnnouncements::Reset(const FormerLease& former, TimePoint now) {
   if (former.who == FormerHolder::kThisProcess) {
-    RestOthers(former, now);
+    BlockOtherEndpoints(former, now);
     return;
   }
   ordered_.clear();
-  wished_.clear();
+  requested_.clear();
   inherited_.clear();
-  // An earlier process of this machine: the same holder, whose loads still count.
+  // An earlier process on this machine counts as the same holder, and its loads still count.
   for (const auto& [instance, scope] : former.own) {
-    Extend(ordered_, instance, scope, now + KeepFor(scope));
+    Extend(ordered_, instance, scope, now + RetentionTime(scope));
   }
   for (const auto& [instance, scope] : former.inherited) {
     Extend(inherited_, instance, scope, now + former.rest);
   }
-  RestOthers(former, now);
+  BlockOtherEndpoints(former, now);
 }
 
-// Nobody else has ordered what this holder had ordered a short while ago and its record still
-// names.
-void OrderAnnouncements::RestOthers(const FormerLease& former, TimePoint now) {
+// Endpoints to which this holder recently sent orders, and which its record still lists, received
+// no orders from anyone else.
+void OrderAnnouncements::BlockOtherEndpoints(const FormerLease& former, TimePoint now) {
   if (!former.inherited_all) {
     return;
   }
-  others_rest_until_ = std::max(others_rest_until_, now + former.rest);
-  own_of_rest_.clear();
+  others_blocked_until_ = std::max(others_blocked_until_, now + former.rest);
+  unblocked_endpoints_.clear();
   for (const auto& [instance, entry] : ordered_) {
     if (now < entry.until) {
-      own_of_rest_.insert(instance);
+      unblocked_endpoints_.insert(instance);
     }
   }
 }
@@ -74,24 +74,24 @@
                                   OrderScope scope,
                                   const OrderScopes& announced,
                                   TimePoint now) {
-  if (Resting(instance, now)) {
+  if (IsBlocked(instance, now)) {
     return false;
   }
   if (Covers(announced, instance, scope)) {
     return true;
   }
-  Extend(wished_, instance, scope, now + kWishFor);
+  Extend(requested_, instance, scope, now + kRequestLifetime);
   return false;
 }
 
 void OrderAnnouncements::Ordered(const std::string& instance, OrderScope scope, TimePoint now) {
   std::erase_if(ordered_, [&](const auto& entry) { return now >= entry.second.until; });
-  std::erase_if(wished_, [&](const auto& entry) { return now >= entry.second.until; });
-  Extend(ordered_, instance, scope, now + KeepFor(scope));
+  std::erase_if(requested_, [&](const auto& entry) { return now >= entry.second.until; });
+  Extend(ordered_, instance, scope, now + RetentionTime(scope));
 }
 
-bool OrderAnnouncements::Resting(const std::string& instance, TimePoint now) const {
-  if (now < others_rest_until_ && !own_of_rest_.contains(instance)) {
+bool OrderAnnouncements::IsBlocked(const std::string& instance, TimePoint now) const {
+  if (now < others_blocked_until_ && !unblocked_endpoints_.contains(instance)) {
     return true;
   }
   const auto found = inherited_.find(instance);
@@ -99,7 +99,7 @@
 }
 
 OrderScopes OrderAnnouncements::Own(TimePoint now) const {
-  return Union(ScopesOf(ordered_, now), ScopesOf(wished_, now));
+  return Union(ScopesOf(ordered_, now), ScopesOf(requested_, now));
 }
 
 OrderScopes OrderAnnouncements::Inherited(TimePoint now) const {
--- a/src/rudderloom/placement/order_scope.cpp
+++ b/src/rudderloom/placement/order_scope.cpp
@@ -53,7 +53,8 @@
   return object;
 }
 
-// What can't be read is taken for the wider scope: the reader keeps off for longer.
+// An unreadable value is treated as the wider scope, so that the reader avoids the endpoint for
+// longer.
 OrderScopes OrderScopesFromJson(const boost::json::object& object) {
   OrderScopes scopes;
   for (const auto& [instance, value] : object) {
--- a/src/rudderloom/placement/placement_keeper.cpp
+++ b/src/rudderloom/placement/placement_keeper.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// Requests that are on their way to a model must have arrived before it is unloaded.
-constexpr Duration kWithdrawTime{400};
+// Requests in transit to a model must arrive before it is unloaded.
+constexpr Duration kDrainTime{400};
 constexpr Duration kLogShortfallsEvery{1'000};
-constexpr std::size_t kShortfallsTold = 3;
+constexpr std::size_t kMaxLoggedShortfalls = 3;
 // Expected time from the acceptance of an order until the adapter can be used.
 constexpr Duration kAdapterLoadTime{80};
 // Units whose last request is older are left out of the forecast.
@@ -20,35 +20,38 @@
 
 // Recently requested models and adapters without running requests: the adapters by their model, an
 // empty list where only the model itself was requested.
-using LackedUnits = std::map<std::string, std::vector<std::string>>;
+using UnservedUnits = std::map<std::string, std::vector<std::string>>;
 
-LackedUnits FindLackedUnits(const std::string& service, const DemandBoard& demand, TimePoint now) {
-  LackedUnits lacked;
-  for (const auto& [unit, asked] : demand.Units()) {
-    if (unit.service != service || asked.running > 0 || now - asked.asked_at > kDemandWindow) {
+UnservedUnits FindUnservedUnits(const std::string& service,
+                                const DemandBoard& demand,
+                                TimePoint now) {
+  UnservedUnits unserved;
+  for (const auto& [unit, unit_demand] : demand.Units()) {
+    if (unit.service != service || unit_demand.running > 0 ||
+        now - unit_demand.asked_at > kDemandWindow) {
       continue;
     }
-    std::vector<std::string>& adapters = lacked[unit.model];
+    std::vector<std::string>& adapters = unserved[unit.model];
     if (!unit.adapter.empty()) {
       adapters.push_back(unit.adapter);
     }
   }
-  return lacked;
+  return unserved;
 }
 
 // Adds the expected ends of adapter loads on models that the engine holds.
-void AddAdapters(const EngineState& engine,
-                 const std::string& service,
-                 const LackedUnits& lacked,
-                 LoadForecast& forecast,
-                 TimePoint now) {
+void AddAdapterForecast(const EngineState& engine,
+                        const std::string& service,
+                        const UnservedUnits& unserved,
+                        LoadForecast& forecast,
+                        TimePoint now) {
   const bool accepts_order = engine.Certain() && !engine.awaits_announcement;
   if (accepts_order && engine.pending_adapters.empty()) {
     return;
   }
   for (const ResidentModel& model : engine.models) {
-    const auto found = lacked.find(model.name);
-    if (found == lacked.end()) {
+    const auto found = unserved.find(model.name);
+    if (found == unserved.end()) {
       continue;
     }
     for (const std::string& adapter : found->second) {
@@ -72,15 +75,16 @@
   if (former.who != FormerHolder::kThisProcess) {
     pacer_.AssumeStarted(CountWeightStore(former.own) + CountWeightStore(former.inherited), now);
   }
-  ServingChanged();
+  IncrementServingVersion();
 }
 
 void PlacementKeeper::GoOn(const FormerLease& former, TimePoint now) {
   announcements_.Reset(former, now);
-  ServingChanged();
+  IncrementServingVersion();
 }
 
-void PlacementKeeper::Follow(const std::map<std::string, KnownEndpoint>& endpoints, TimePoint now) {
+void PlacementKeeper::UpdateEngines(const std::map<std::string, KnownEndpoint>& endpoints,
+                                    TimePoint now) {
   const std::size_t before = engines_.size();
   std::erase_if(engines_, [&](const auto& entry) {
     const auto found = endpoints.find(entry.first);
@@ -95,14 +99,14 @@
     changed = true;
   }
   if (changed) {
-    ServingChanged();
+    IncrementServingVersion();
   }
 }
 
-void PlacementKeeper::AskReports(PlacementEffects& effects, TimePoint now) {
+void PlacementKeeper::RequestReports(PlacementEffects& effects, TimePoint now) {
   for (auto& [instance, engine] : engines_) {
-    if (!engine.asking && !engine.flight && now >= engine.ask_at) {
-      engine.asking = true;
+    if (!engine.report_requested && !engine.sent_order && now >= engine.next_report_at) {
+      engine.report_requested = true;
       effects.report_calls.push_back({instance, engine.address, engine.born});
     }
   }
@@ -112,19 +116,19 @@
                                const std::optional<EngineReport>& report,
                                TimePoint now) {
   const auto found = engines_.find(instance);
-  if (found != engines_.end() && found->second.TakeReport(report, now)) {
-    ServingChanged();
+  if (found != engines_.end() && found->second.ApplyReport(report, now)) {
+    IncrementServingVersion();
   }
 }
 
 void PlacementKeeper::OrderEnded(const PlacementOrder& order,
                                  PlacementOutcome outcome,
                                  TimePoint now) {
-  --orders_under_way_;
+  --orders_in_flight_;
   const auto found = engines_.find(order.instance);
   if (found != engines_.end() &&
       found->second.OrderEnded(order, outcome, load_times_[order.model], now)) {
-    ServingChanged();
+    IncrementServingVersion();
   }
 }
 
@@ -138,7 +142,7 @@
                            TimePoint now) {
   const bool from_store = load && adapter.empty() && !engine.local_weights.Has(model);
   const OrderScope scope = from_store ? OrderScope::kWeightStore : OrderScope::kLocal;
-  // Announced by name: other holders take the lives of one name for one endpoint.
+  // Announced by endpoint name: other holders treat all instances of a name as one endpoint.
   engine.awaits_announcement = !announcements_.MayOrder(engine.id, scope, lease.announced, now);
   if (engine.awaits_announcement) {
     return false;
@@ -156,7 +160,7 @@
   order.token = lease.epoch;
   order.valid_until = lease.valid_until;
   engine.OrderSent(order, now);
-  ++orders_under_way_;
+  ++orders_in_flight_;
   if (from_store) {
     pacer_.Started(now);
   }
@@ -164,16 +168,16 @@
   return true;
 }
 
-// Moves swaps on, and takes adapters into use whose load should be over.
-void PlacementKeeper::Advance(const ServiceSpec& service,
-                              const std::vector<std::string>& instances,
-                              const HeldLease& lease,
-                              PlacementEffects& effects,
-                              TimePoint now) {
+// Advances swaps and marks adapters as available whose loads should have finished.
+void PlacementKeeper::AdvanceSwaps(const ServiceSpec& service,
+                                   const std::vector<std::string>& instances,
+                                   const HeldLease& lease,
+                                   PlacementEffects& effects,
+                                   TimePoint now) {
   for (const std::string& instance : instances) {
     EngineState& engine = engines_[instance];
-    if (engine.TakeAdapters(now)) {
-      ServingChanged();
+    if (engine.MarkLoadedAdapters(now)) {
+      IncrementServingVersion();
     }
     if (!engine.swap || !engine.Certain()) {
       continue;
@@ -183,12 +187,12 @@
         Send(instance, engine, false, engine.swap->victim, "", lease, effects, now);
       }
     } else {
-      const std::string newcomer = engine.swap->newcomer;
-      if (engine.Holds(newcomer)) {
+      const std::string replacement = engine.swap->replacement;
+      if (engine.Holds(replacement)) {
         engine.swap.reset();
-      } else if (engine.local_weights.Has(newcomer) ||
-                 pacer_.MayStart(service.engine->loads_per_second, 0, LoadClass::kAskedFor, now)) {
-        if (Send(instance, engine, true, newcomer, "", lease, effects, now)) {
+      } else if (engine.local_weights.Has(replacement) ||
+                 pacer_.MayStart(service.engine->loads_per_second, 0, LoadClass::kRequested, now)) {
+        if (Send(instance, engine, true, replacement, "", lease, effects, now)) {
           engine.swap.reset();
         }
       }
@@ -220,15 +224,15 @@
   PlacementInput input{service.name, *service.engine, {}, demand, now};
   for (const std::string& instance : instances) {
     engines_[instance].awaits_announcement = false;
-    const bool resting = announcements_.Resting(engines_[instance].id, now);
-    PlanEngine view = engines_[instance].View(instance, *service.engine, resting);
+    const bool blocked = announcements_.IsBlocked(engines_[instance].id, now);
+    PlanEngine plan_engine = engines_[instance].ToPlanEngine(instance, *service.engine, blocked);
     if (const auto load = loads.find(KeyOf(instance)); load != loads.end()) {
-      view.load = load->second;
+      plan_engine.load = load->second;
     }
-    view.requests_per_second = LimitOf(instance);
-    input.engines.push_back(std::move(view));
+    plan_engine.requests_per_second = LimitOf(instance);
+    input.engines.push_back(std::move(plan_engine));
   }
-  LeaveLimitedOut(input.engines, service.engine->slots);
+  ExcludeLimitedEngines(input.engines, service.engine->slots);
   const PlacementPlan plan = PlanPlacement(std::move(input));
   LogShortfalls(plan, now);
   for (const AdapterStep& step : plan.adapters) {
@@ -241,8 +245,8 @@
     }
   }
   for (const ModelStep& step : plan.models) {
-    const LoadClass load_class = step.asked_for ? LoadClass::kAskedFor : LoadClass::kInCase;
-    // Nothing is unloaded for a load that could not start soon after.
+    const LoadClass load_class = step.requested ? LoadClass::kRequested : LoadClass::kSpeculative;
+    // Unloads nothing for a load that could not start soon afterwards.
     if (step.from_store &&
         !pacer_.MayStart(service.engine->loads_per_second, PendingSwaps(), load_class, now)) {
       continue;
@@ -252,28 +256,29 @@
       Send(step.instance, engine, true, step.model, "", lease, effects, now);
       continue;
     }
-    engine.swap = ModelSwap{*step.victim, step.model, now + kWithdrawTime};
-    // The record names the endpoint by the time that the first order may be sent.
+    engine.swap = ModelSwap{*step.victim, step.model, now + kDrainTime};
+    // Requests the announcement now so that the record lists the endpoint when the first order may
+    // be sent.
     const OrderScope scope = step.from_store ? OrderScope::kWeightStore : OrderScope::kLocal;
     announcements_.MayOrder(engine.id, scope, lease.announced, now);
-    ServingChanged();
+    IncrementServingVersion();
     LogLine("swap_planned")
         .With("endpoint", step.instance)
         .With("victim", *step.victim)
-        .With("newcomer", step.model)
-        .With("asked_for", step.asked_for ? "yes" : "no");
+        .With("replacement", step.model)
+        .With("asked_for", step.requested ? "yes" : "no");
   }
 }
 
-// Adds the expected ends of loads of recently requested units, if their orders are under way or
-// wait for the engine to accept another order.
+// Adds the expected ends of loads of recently requested units whose orders are in progress or wait
+// until the engine accepts another order.
 void PlacementKeeper::AddForecast(const std::string& service,
                                   const std::vector<std::string>& instances,
                                   const DemandBoard& demand,
                                   LoadForecast& forecast,
                                   TimePoint now) {
-  const LackedUnits lacked = FindLackedUnits(service, demand, now);
-  if (lacked.empty()) {
+  const UnservedUnits unserved = FindUnservedUnits(service, demand, now);
+  if (unserved.empty()) {
     return;
   }
   for (const std::string& instance : instances) {
@@ -282,7 +287,7 @@
       continue;
     }
     for (const std::string& model : engine.IncomingModels()) {
-      if (const auto found = lacked.find(model); found != lacked.end()) {
+      if (const auto found = unserved.find(model); found != unserved.end()) {
         const TimePoint ends_at = *engine.LoadEndsAt(model, load_times_[model], now);
         AddExpected(forecast, {service, model, ""}, ends_at);
         for (const std::string& adapter : found->second) {
@@ -290,7 +295,7 @@
         }
       }
     }
-    AddAdapters(engine, service, lacked, forecast, now);
+    AddAdapterForecast(engine, service, unserved, forecast, now);
   }
   for (auto& [unit, load] : forecast) {
     if (unit.service == service) {
@@ -299,14 +304,15 @@
   }
 }
 
-// What demand waits for most, every now and then: the first thing to look at when a model is slow.
+// Periodically logs the models with the most unmet demand, the first place to look when a model is
+// slow.
 void PlacementKeeper::LogShortfalls(const PlacementPlan& plan, TimePoint now) {
   if (plan.shortfalls.empty() || now - shortfalls_logged_at_ < kLogShortfallsEvery) {
     return;
   }
   shortfalls_logged_at_ = now;
-  const std::size_t told = std::min(kShortfallsTold, plan.shortfalls.size());
-  for (std::size_t i = 0; i < told; ++i) {
+  const std::size_t logged_count = std::min(kMaxLoggedShortfalls, plan.shortfalls.size());
+  for (std::size_t i = 0; i < logged_count; ++i) {
     const Shortfall& shortfall = plan.shortfalls[i];
     LogLine("copies_short")
         .With("model", shortfall.model)
@@ -333,17 +339,17 @@
       engines.emplace(instance, known);
     }
   }
-  Follow(engines, now);
+  UpdateEngines(engines, now);
   for (const auto& [instance, engine] : engines_) {
     by_service[engines[instance].record.service].push_back(instance);
   }
-  AskReports(effects, now);
+  RequestReports(effects, now);
   for (const auto& [name, instances] : by_service) {
     const ServiceSpec& service = *routes.Service(name);
     for (const ModelSpec& model : service.engine->models) {
       load_times_[model.name] = {model.memory_load_time, model.disk_load_time, model.load_time};
     }
-    Advance(service, instances, lease, effects, now);
+    AdvanceSwaps(service, instances, lease, effects, now);
     Plan(service, instances, demand, loads, lease, effects, now);
     AddForecast(name, instances, demand, effects.forecast, now);
   }
--- a/src/rudderloom/placement/planner.cpp
+++ b/src/rudderloom/placement/planner.cpp
@@ -8,43 +8,44 @@
 
 namespace {
 
-// What a load from the weight store is worth avoiding, in requests in flight on the endpoint.
-constexpr double kStoreCost = 30.0;
-// Requests in flight that are no more than the rest of a decayed average.
-constexpr double kNoPressure = 0.05;
-// A victim's remaining copies must be so much less pressed than the newcomer's.
-constexpr double kSwapGain = 0.5;
-constexpr Duration kIdleLastCopy{10'000};
-// Part of an endpoint's places that each copy of a busy model must have taken before a model that
-// nobody asks for gives up its only place. Where a third of the engines left, 196 models stood on
-// 177 places: busy ones had one copy each beside dozens that were idle.
-constexpr double kPressedPart = 0.5;
-// What stands when nothing is known of the demand is the best forecast of it: each copy counts as
-// this many requests in flight, less and less as demand is seen.
-constexpr double kForecastPerCopy = 4.0;
-constexpr double kForecastFadeSeconds = 4.0;
-// Before demand has been seen for so long, no copy makes way for a model that nobody asks for.
-constexpr Duration kDemandKnownAfter{5'000};
-// Requests in flight for one copy of an adapter from which another copy is loaded.
-constexpr double kWorthAdapterCopy = 6.0;
-constexpr Duration kAdapterWanted{4'000};
-constexpr Duration kAdapterRest{700};
+// Cost of a load from the weight store, in requests in flight on the endpoint.
+constexpr double kWeightStoreLoadCost = 30.0;
+// Pressure up to which a value is only the remainder of a decayed average.
+constexpr double kNegligiblePressure = 0.05;
+// Maximum ratio between the pressure on a victim's remaining copies and the pressure per copy of
+// its replacement.
+constexpr double kMaxVictimPressureRatio = 0.5;
+constexpr Duration kLastCopyIdleTime{10'000};
+// Fraction of an endpoint's slots that each copy of a busy model must use before a model without
+// requests loses its only copy. When a third of the engines left, 196 models shared 177 places, and
+// busy models had one copy each beside dozens of idle ones.
+constexpr double kBusySlotFraction = 0.5;
+// While demand is unknown, the current placement is its best forecast: each copy counts as this
+// many requests in flight, decaying as demand is observed.
+constexpr double kInitialPressurePerCopy = 4.0;
+constexpr double kInitialPressureDecaySeconds = 4.0;
+// Until demand has been observed for this long, no copy is unloaded for a model without requests.
+constexpr Duration kMinDemandObservation{5'000};
+// Requests in flight per copy of an adapter at which another copy is loaded.
+constexpr double kPressurePerExtraAdapterCopy = 6.0;
+constexpr Duration kAdapterDemandWindow{4'000};
+constexpr Duration kAdapterIdleTime{700};
 
 struct ModelState {
   const ModelSpec* spec = nullptr;
   std::uint32_t copies = 0;
   std::uint32_t wanted = 1;
   UnitDemand demand;
-  bool asked_for = false;  // by requests, not only by what stands
+  bool requested = false;  // by requests, not only by the initial pressure
 
   double PressurePerCopy() const { return demand.pressure / std::max(1U, copies); }
 };
 
-// An engine with the models that it holds or will hold, found once: for each load that is planned
-// all engines are weighed.
+// An engine with the models that it holds or will hold. Looked up once, because every planned load
+// compares all engines.
 struct Candidate {
   PlanEngine* engine = nullptr;
-  std::vector<ModelState*> held;  // those that the service has
+  std::vector<ModelState*> held;  // only models of the service
 };
 
 class Planner {
@@ -53,15 +54,15 @@
 
   PlacementPlan Run() {
     CountCopies();
-    BlendForecast();
-    SetWanted();
+    ApplyInitialPressure();
+    ComputeWantedCopies();
     PlanModels();
     PlanAdapters();
     return std::move(plan_);
   }
 
  private:
-  // Memory that adapters may come to need beside the models.
+  // Memory to reserve for adapters beside the models.
   std::uint64_t AdapterReserve() const {
     std::uint64_t largest = 0;
     for (const ModelSpec& model : input_.spec.models) {
@@ -70,7 +71,7 @@
     return largest * input_.spec.adapter_slots;
   }
 
-  std::uint64_t Free(const PlanEngine& engine) const {
+  std::uint64_t FreeMemory(const PlanEngine& engine) const {
     const std::uint64_t limit = input_.spec.memory_mb;
     return limit - std::min(limit, engine.memory_used);
   }
@@ -80,7 +81,7 @@
       ModelState& state = models_[model.name];
       state.spec = &model;
       state.demand = input_.demand.Of({input_.service, model.name, ""});
-      state.asked_for = state.demand.waiting > 0 || state.demand.pressure > kNoPressure;
+      state.requested = state.demand.waiting > 0 || state.demand.pressure > kNegligiblePressure;
     }
     for (PlanEngine& engine : input_.engines) {
       Candidate& candidate = candidates_.emplace_back();
@@ -96,14 +97,14 @@
     }
   }
 
-  std::uint32_t Places() const {
+  std::uint32_t ModelCapacity() const {
     std::uint64_t largest = 1;
     for (const ModelSpec& model : input_.spec.models) {
       largest = std::max(largest, model.memory_mb);
     }
-    const std::uint64_t room =
+    const std::uint64_t model_memory =
         input_.spec.memory_mb - std::min(input_.spec.memory_mb, AdapterReserve());
-    return static_cast<std::uint32_t>(CountedEngines() * (room / largest));
+    return static_cast<std::uint32_t>(CountedEngines() * (model_memory / largest));
   }
 
   std::uint64_t CountedEngines() const {
@@ -112,68 +113,69 @@
                       [](const PlanEngine& engine) { return engine.copies_count; }));
   }
 
-  Duration DemandKnownFor() const {
-    const auto first = input_.demand.FirstAsked();
+  Duration DemandObservedFor() const {
+    const auto first = input_.demand.FirstRequestAt();
     return first ? Between(*first, input_.now) : Duration(0);
   }
 
-  // Weighs what stands against the demand seen so far.
-  void BlendForecast() {
-    const double seconds = std::chrono::duration<double>(DemandKnownFor()).count();
-    const double forecast = kForecastPerCopy * std::exp(-seconds / kForecastFadeSeconds);
+  // Raises the pressure of loaded models while little demand has been observed.
+  void ApplyInitialPressure() {
+    const double seconds = std::chrono::duration<double>(DemandObservedFor()).count();
+    const double initial_pressure =
+        kInitialPressurePerCopy * std::exp(-seconds / kInitialPressureDecaySeconds);
     for (auto& [name, state] : models_) {
-      state.demand.pressure = std::max(state.demand.pressure, forecast * state.copies);
+      state.demand.pressure = std::max(state.demand.pressure, initial_pressure * state.copies);
     }
   }
 
-  // What the demand for an endpoint's models would ask of it, without `leaving`.
-  static double Crowding(const Candidate& candidate, const ModelState* leaving) {
-    double crowding = 0.0;
+  // Total pressure per copy of the models on an engine, without `leaving`.
+  static double CompetingPressure(const Candidate& candidate, const ModelState* leaving) {
+    double competing_pressure = 0.0;
     for (const ModelState* model : candidate.held) {
-      crowding += model != leaving ? model->PressurePerCopy() : 0.0;
+      competing_pressure += model != leaving ? model->PressurePerCopy() : 0.0;
     }
-    return crowding;
+    return competing_pressure;
   }
 
-  void SetWanted() {
+  void ComputeWantedCopies() {
     std::map<std::string, double> pressures;
     for (const auto& [name, state] : models_) {
       pressures[name] = state.demand.pressure;
     }
     const auto idle = std::count_if(models_.begin(), models_.end(),
-                                    [&](const auto& entry) { return Idle(entry.second); });
-    const auto wanted = WantedCopies(pressures, static_cast<std::uint32_t>(Places() + idle),
+                                    [&](const auto& entry) { return IsIdle(entry.second); });
+    const auto wanted = WantedCopies(pressures, static_cast<std::uint32_t>(ModelCapacity() + idle),
                                      static_cast<std::uint32_t>(CountedEngines()));
     for (const auto& [name, copies] : wanted) {
       models_[name].wanted = copies;
     }
   }
 
-  // Nobody has asked for it for long.
-  bool Idle(const ModelState& model) const {
+  // True if the model has not been requested for a long time.
+  bool IsIdle(const ModelState& model) const {
     return model.demand.running + model.demand.waiting == 0 &&
-           DemandKnownFor() > kDemandKnownAfter &&
-           input_.now - model.demand.asked_at > kIdleLastCopy;
+           DemandObservedFor() > kMinDemandObservation &&
+           input_.now - model.demand.asked_at > kLastCopyIdleTime;
   }
 
-  // Loads are scarce, so what requests wait for comes first, and what nobody asks for last.
-  enum class Rank { kWaitedFor, kBusy, kUnasked };
+  // Loads are scarce, so models that requests wait for come first and unrequested models last.
+  enum class Rank { kWaiting, kBusy, kUnrequested };
 
   static Rank RankOf(const ModelState& model) {
     if (model.copies > 0) {
       return Rank::kBusy;
     }
-    return model.asked_for ? Rank::kWaitedFor : Rank::kUnasked;
+    return model.requested ? Rank::kWaiting : Rank::kUnrequested;
   }
 
   void PlanModels() {
-    std::vector<std::string> needs;
+    std::vector<std::string> short_models;
     for (const auto& [name, state] : models_) {
       if (state.copies < state.wanted) {
-        needs.push_back(name);
+        short_models.push_back(name);
       }
     }
-    std::sort(needs.begin(), needs.end(), [&](const auto& left, const auto& right) {
+    std::sort(short_models.begin(), short_models.end(), [&](const auto& left, const auto& right) {
       const ModelState& a = models_[left];
       const ModelState& b = models_[right];
       if (RankOf(a) != RankOf(b)) {
@@ -181,23 +183,23 @@
       }
       return a.PressurePerCopy() > b.PressurePerCopy();
     });
-    for (const std::string& name : needs) {
+    for (const std::string& name : short_models) {
       const ModelState& model = models_[name];
       plan_.shortfalls.push_back({name, model.demand.pressure, model.copies, model.wanted});
     }
-    for (const std::string& name : needs) {
-      if (!LoadIntoRoom(name)) {
-        Swap(name);
+    for (const std::string& name : short_models) {
+      if (!LoadIntoFreeMemory(name)) {
+        PlanSwap(name);
       }
     }
   }
 
-  // A load from the weight store takes several times as long, and there are few of them.
-  static double StoreCost(const PlanEngine& engine, const std::string& model) {
-    return engine.local_weights.Has(model) ? 0.0 : kStoreCost;
+  // A load from the weight store takes several times as long, and only few may start.
+  static double WeightStoreCost(const PlanEngine& engine, const std::string& model) {
+    return engine.local_weights.Has(model) ? 0.0 : kWeightStoreLoadCost;
   }
 
-  bool LoadIntoRoom(const std::string& name) {
+  bool LoadIntoFreeMemory(const std::string& name) {
     ModelState& model = models_[name];
     const std::uint64_t needed = model.spec->memory_mb + AdapterReserve();
     Candidate* best = nullptr;
@@ -205,11 +207,11 @@
     for (Candidate& candidate : candidates_) {
       const PlanEngine& engine = *candidate.engine;
       const bool fits =
-          engine.takes_models && Free(engine) >= needed && !engine.models.contains(name);
+          engine.takes_models && FreeMemory(engine) >= needed && !engine.models.contains(name);
       if (!fits) {
         continue;
       }
-      const double cost = Crowding(candidate, nullptr) + StoreCost(engine, name);
+      const double cost = CompetingPressure(candidate, nullptr) + WeightStoreCost(engine, name);
       if (cost < best_cost) {
         best_cost = cost;
         best = &candidate;
@@ -218,42 +220,44 @@
     if (best == nullptr) {
       return false;
     }
-    plan_.models.push_back({best->engine->instance, name, std::nullopt, model.asked_for,
+    plan_.models.push_back({best->engine->instance, name, std::nullopt, model.requested,
                             !best->engine->local_weights.Has(name)});
-    Taken(*best, name);
+    MarkPlanned(*best, name);
     return true;
   }
 
-  void Taken(Candidate& candidate, const std::string& newcomer) {
+  void MarkPlanned(Candidate& candidate, const std::string& replacement) {
     candidate.engine->takes_models = false;
     candidate.engine->takes_adapters = false;
-    candidate.engine->models[newcomer];
-    ModelState& model = models_[newcomer];
+    candidate.engine->models[replacement];
+    ModelState& model = models_[replacement];
     candidate.held.push_back(&model);
     ++model.copies;
   }
 
-  // True when a copy of `victim` may make way for `newcomer`.
-  bool MayGo(const ModelState& victim, const ModelState& newcomer) const {
-    if (!newcomer.asked_for && DemandKnownFor() < kDemandKnownAfter) {
+  // True if a copy of `victim` may be unloaded for `replacement`.
+  bool MayUnload(const ModelState& victim, const ModelState& replacement) const {
+    if (!replacement.requested && DemandObservedFor() < kMinDemandObservation) {
       return false;
     }
     if (victim.copies >= 2) {
-      const double left = victim.demand.pressure / (victim.copies - 1);
+      const double pressure_after_unload = victim.demand.pressure / (victim.copies - 1);
       if (victim.copies > victim.wanted) {
-        return newcomer.copies == 0 || left <= kSwapGain * newcomer.PressurePerCopy();
+        return replacement.copies == 0 ||
+               pressure_after_unload <= kMaxVictimPressureRatio * replacement.PressurePerCopy();
       }
-      return newcomer.copies == 0 && newcomer.demand.pressure > 0.0 &&
-             left <= std::max(1.0, newcomer.demand.pressure) * 4.0;
+      return replacement.copies == 0 && replacement.demand.pressure > 0.0 &&
+             pressure_after_unload <= std::max(1.0, replacement.demand.pressure) * 4.0;
     }
-    const bool pressed = DemandKnownFor() > kIdleLastCopy &&
-                         newcomer.PressurePerCopy() >= kPressedPart * input_.spec.slots;
-    return Idle(victim) && newcomer.asked_for && (newcomer.copies == 0 || pressed);
+    const bool replacement_busy =
+        DemandObservedFor() > kLastCopyIdleTime &&
+        replacement.PressurePerCopy() >= kBusySlotFraction * input_.spec.slots;
+    return IsIdle(victim) && replacement.requested && (replacement.copies == 0 || replacement_busy);
   }
 
-  void Swap(const std::string& name) {
-    ModelState& newcomer = models_[name];
-    const std::uint64_t needed = newcomer.spec->memory_mb + AdapterReserve();
+  void PlanSwap(const std::string& name) {
+    ModelState& replacement = models_[name];
+    const std::uint64_t needed = replacement.spec->memory_mb + AdapterReserve();
     Candidate* best = nullptr;
     ModelState* best_victim = nullptr;
     double best_cost = std::numeric_limits<double>::max();
@@ -263,12 +267,13 @@
         continue;
       }
       for (ModelState* victim : candidate.held) {
-        if (!MayGo(*victim, newcomer) || Free(engine) + victim->spec->memory_mb < needed) {
+        if (!MayUnload(*victim, replacement) ||
+            FreeMemory(engine) + victim->spec->memory_mb < needed) {
           continue;
         }
-        const double last = victim->copies < 2 ? 1'000'000.0 : 0.0;
-        const double cost = victim->PressurePerCopy() + Crowding(candidate, victim) + last +
-                            StoreCost(engine, name);
+        const double last_copy_penalty = victim->copies < 2 ? 1'000'000.0 : 0.0;
+        const double cost = victim->PressurePerCopy() + CompetingPressure(candidate, victim) +
+                            last_copy_penalty + WeightStoreCost(engine, name);
         if (cost < best_cost) {
           best_cost = cost;
           best = &candidate;
@@ -280,12 +285,12 @@
       return;
     }
     const std::string& victim_name = best_victim->spec->name;
-    plan_.models.push_back({best->engine->instance, name, victim_name, newcomer.asked_for,
+    plan_.models.push_back({best->engine->instance, name, victim_name, replacement.requested,
                             !best->engine->local_weights.Has(name)});
     --best_victim->copies;
     best->engine->models.erase(victim_name);
     std::erase(best->held, best_victim);
-    Taken(*best, name);
+    MarkPlanned(*best, name);
   }
 
   void PlanAdapters() {
@@ -295,8 +300,8 @@
         unanswered.insert({input_.service, adapter->first, adapter->second});
       }
     }
-    // An adapter whose load order is unanswered may already be loading, so it is planned on other
-    // engines after all others that requests wait for.
+    // An adapter with an unanswered load order may already be loading, so it is planned on other
+    // engines only after all other adapters that requests wait for.
     const auto rank = [&](const std::pair<UnitName, UnitDemand>& entry) {
       if (entry.second.waiting == 0) {
         return 2;
@@ -305,9 +310,10 @@
     };
     std::vector<std::pair<UnitName, UnitDemand>> wanted;
     for (const auto& [unit, demand] : input_.demand.Units()) {
-      const bool asked = demand.waiting > 0 ||
-                         (input_.now - demand.asked_at < kAdapterWanted && demand.pressure > 0.2);
-      if (unit.service == input_.service && !unit.adapter.empty() && asked) {
+      const bool recently_requested =
+          demand.waiting > 0 ||
+          (input_.now - demand.asked_at < kAdapterDemandWindow && demand.pressure > 0.2);
+      if (unit.service == input_.service && !unit.adapter.empty() && recently_requested) {
         wanted.emplace_back(unit, demand);
       }
     }
@@ -325,7 +331,7 @@
   }
 
   void PlanAdapter(const UnitName& unit, const UnitDemand& demand) {
-    // Engines that hold the model at the plan's start: others can't take its adapters yet.
+    // Engines that hold the model at the start of the plan; others can't load its adapters yet.
     const auto holders = holders_.find(unit.model);
     if (holders == holders_.end()) {
       return;
@@ -336,7 +342,7 @@
       copies += model != engine->models.end() && model->second.contains(unit.adapter) ? 1 : 0;
     }
     const bool missing = copies == 0;
-    if (!missing && demand.pressure / copies < kWorthAdapterCopy) {
+    if (!missing && demand.pressure / copies < kPressurePerExtraAdapterCopy) {
       return;
     }
     const auto spec = models_.find(unit.model);
@@ -354,12 +360,12 @@
         continue;
       }
       AdapterStep step{engine.instance, unit.model, unit.adapter, std::nullopt};
-      const bool place = engine.adapters < input_.spec.adapter_slots;
-      if (place && Free(engine) < spec->second.spec->adapter_memory_mb) {
+      const bool has_free_slot = engine.adapters < input_.spec.adapter_slots;
+      if (has_free_slot && FreeMemory(engine) < spec->second.spec->adapter_memory_mb) {
         continue;
       }
-      if (!place) {
-        step.victim = RestingAdapter(engine);
+      if (!has_free_slot) {
+        step.victim = LongestIdleAdapter(engine);
         if (!step.victim) {
           continue;
         }
@@ -373,7 +379,7 @@
         best_step = std::move(step);
       }
     }
-    // A further copy is not worth another adapter's place.
+    // Another adapter is never unloaded for an additional copy.
     if (best == nullptr || (!missing && best_step.victim)) {
       return;
     }
@@ -383,27 +389,27 @@
     plan_.adapters.push_back(std::move(best_step));
   }
 
-  // The adapter of an engine that has rested longest; empty when all are in use.
-  std::optional<std::pair<std::string, std::string>> RestingAdapter(
+  // The adapter of an engine that has been idle longest; empty if all are in use.
+  std::optional<std::pair<std::string, std::string>> LongestIdleAdapter(
       const PlanEngine& engine) const {
-    std::optional<std::pair<std::string, std::string>> resting;
-    TimePoint oldest = input_.now - kAdapterRest;
+    std::optional<std::pair<std::string, std::string>> idle_adapter;
+    TimePoint oldest = input_.now - kAdapterIdleTime;
     for (const auto& [model, adapters] : engine.models) {
       for (const std::string& adapter : adapters) {
         const UnitDemand demand = input_.demand.Of({input_.service, model, adapter});
         if (demand.running == 0 && demand.waiting == 0 && demand.asked_at < oldest) {
           oldest = demand.asked_at;
-          resting = {model, adapter};
+          idle_adapter = {model, adapter};
         }
       }
     }
-    return resting;
+    return idle_adapter;
   }
 
   PlacementInput input_;
   std::map<std::string, ModelState> models_;
   std::vector<Candidate> candidates_;
-  std::map<std::string, std::vector<PlanEngine*>> holders_;  // of each model, at the plan's start
+  std::map<std::string, std::vector<PlanEngine*>> holders_;  // by model, at the start of the plan
   PlacementPlan plan_;
 };
 
