--- a/include/rudderloom/residency/order.hpp
+++ b/include/rudderloom/residency/order.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Orders to endpoints and what comes of sending them.
+/// Load and unload orders to endpoints, and their outcomes.
 #ifndef RUDDERLOOM_RESIDENCY_ORDER_HPP
 #define RUDDERLOOM_RESIDENCY_ORDER_HPP
 
@@ -11,7 +11,7 @@
 
 namespace rudderloom {
 
-/// @brief An order to an endpoint; the same order may be sent again until it is answered.
+/// @brief An order to an endpoint. The same order may be resent until it is answered.
 /// @ingroup residency
 struct Order {
   std::string pool;
@@ -22,22 +22,22 @@
   std::uint64_t memory = 0;
   std::uint64_t epoch = 0;
   std::uint64_t sequence = 0;
-  /// @brief Not to be sent after this moment, when the lease may have passed on.
+  /// @brief The order is not sent after this time, when another node may hold the lease.
   TimePoint valid_until;
 };
 
-/// @brief What came of sending an order once.
+/// @brief Outcome of sending an order once.
 /// @ingroup residency
 enum class OrderOutcome {
   kDone,
-  kNotSent,   ///< No byte left this process.
-  kNotYet,    ///< The endpoint answered that it is not done: loading, or the store is busy.
-  kNoMemory,  ///< The endpoint answered that it has no room.
-  kFenced,    ///< The endpoint has seen a later order.
-  kUnknown,   ///< No answer: it may take effect now, later or never.
+  kNotSent,   ///< No bytes were sent.
+  kNotYet,    ///< Not finished: the endpoint is still loading, or the store is busy.
+  kNoMemory,  ///< The endpoint has not enough free memory.
+  kFenced,    ///< The endpoint has seen a newer order.
+  kUnknown,   ///< No answer: the order may take effect now, later or never.
 };
 
-/// @brief Name of an outcome, as counters and logs show it.
+/// @brief Returns the outcome's name as used in metrics and logs.
 /// @ingroup residency
 std::string_view NameOf(OrderOutcome outcome);
 
--- a/include/rudderloom/residency/pool_keeper.hpp
+++ b/include/rudderloom/residency/pool_keeper.hpp
@@ -1,9 +1,9 @@
 /// @file
 /// Lease, reservations and orders of one pool, as a pure state machine.
 ///
-/// One node at a time holds a pool's lease and decides its orders. An order's memory is reserved
-/// in the platform before the order is sent, and stays reserved until its outcome is known; see
-/// docs/design/orders-and-leases.md for the guarantee and its bounds.
+/// One node at a time holds a pool's lease and decides its orders. The memory for an order is
+/// reserved in the platform before the order is sent, and stays reserved until the outcome is
+/// known. See docs/design/orders-and-leases.md for the guarantee and its bounds.
 #ifndef RUDDERLOOM_RESIDENCY_POOL_KEEPER_HPP
 #define RUDDERLOOM_RESIDENCY_POOL_KEEPER_HPP
 
@@ -25,11 +25,11 @@
 
 namespace rudderloom {
 
-/// @brief How a pool's object was seen.
+/// @brief How a pool's object was read.
 /// @ingroup residency
 enum class PoolSight {
-  kWatched,  ///< It may be behind.
-  kRead,     ///< Nothing that was written before the read was begun is missing from it.
+  kWatched,  ///< From a watch; may be outdated.
+  kRead,     ///< From a fresh read; includes everything written before the read started.
 };
 
 /// @brief A conditional write of the pool's object.
@@ -37,7 +37,7 @@
 struct WritePool {
   std::string pool;
   PoolRecord record;
-  StoreRevision version;  ///< That the platform must have.
+  StoreRevision version;  ///< Revision that the platform must have.
 };
 
 /// @brief A fresh read of the pool's object.
@@ -46,7 +46,7 @@
   std::string pool;
 };
 
-/// @brief A step of the plan that became an intent; for logs and the count of moves.
+/// @brief A planned step that was recorded as an intent; for logs and the move count.
 /// @ingroup residency
 struct MoveDecided {
   std::string endpoint;
@@ -55,12 +55,13 @@
   PlanAction::Reason reason = PlanAction::Reason::kWanted;
 };
 
-/// @brief What a keeper asks its shell to do.
+/// @brief Action that a keeper asks its caller to carry out.
 /// @ingroup residency
 using PoolEffect = std::variant<WritePool, ReadPool, Order, MoveDecided>;
 using PoolEffects = std::vector<PoolEffect>;
 
-/// @brief The state machine. The shell carries out effects and reports what came of them.
+/// @brief The state machine of one pool. The caller carries out its effects and reports their
+/// results.
 /// @ingroup residency
 class PoolKeeper {
  public:
@@ -69,55 +70,57 @@
              std::string pool,
              ResidencySettings settings);
 
-  /// @brief Takes the object. An empty version means that it does not exist.
+  /// @brief Applies a read of the object. An empty version means that it does not exist.
   void Seen(const PoolRecord& record,
             const std::optional<StoreRevision>& version,
             PoolSight sight,
             TimePoint now);
 
-  /// @brief The write in flight took effect and gave this version.
+  /// @brief Notes that the write in flight succeeded and produced this revision.
   void Written(const StoreRevision& version, TimePoint now);
 
-  /// @brief The write in flight did not take effect, or nobody knows: the object is read again.
+  /// @brief Notes that the write in flight failed or its result is unknown; the object will be read
+  /// again.
   void WriteFailed(TimePoint now);
 
-  /// @brief A read gave nothing.
+  /// @brief Notes that a read failed.
   void ReadFailed();
 
-  /// @brief An order that was sent has this outcome.
+  /// @brief Applies the outcome of an order that was sent.
   void OrderEnded(const Order& order, OrderOutcome outcome, TimePoint now);
 
-  /// @brief Moves on; call often.
+  /// @brief Advances the state machine. Call frequently.
   PoolEffects Tick(const PoolView& view, TimePoint now);
 
-  /// @brief Ends the role: takes no lease any more and gives back the one it holds.
+  /// @brief Releases the lease if held, and acquires no lease from now on.
   void Stop() { stopping_ = true; }
 
   bool Holds(TimePoint now) const { return holding_ && now < lease_until_; }
-  bool Released() const { return !holding_ && flights_.empty(); }
+  bool Released() const { return !holding_ && orders_in_flight_.empty(); }
 
-  /// @brief The newest epoch below which this process has no order in hand.
+  /// @brief Returns the newest epoch such that this process has no outstanding order of an older
+  /// one.
   std::uint64_t QuietEpoch() const;
 
   const PoolRecord& Stored() const { return stored_; }
 
  private:
-  struct Memory {  // what this process remembers of its sends of one unit
+  struct SendState {  // this process's order state of one unit
     std::optional<TimePoint> unanswered_until;
     std::optional<TimePoint> retry_at;
     std::optional<TimePoint> missing_since;
     std::optional<TimePoint> settled_at;
   };
-  struct Quiet {  // since when a foreign sender is known to be quiet
+  struct SilentSender {  // since when another sender is known to be silent
     std::optional<TimePoint> since;
   };
 
   void TryTakeOver(PoolEffects& effects, TimePoint now);
-  void TakeOverDraft();
+  void PrepareTakeover();
   bool IsOlder(const PoolRecord& record) const;
-  // The platform has come back from a copy older than what was written.
-  void TakeCopy(TimePoint now);
-  bool HeardBack(const PoolRecord& record);
+  // Handles a platform restored from a copy older than the last write.
+  void HandleRestoredCopy(TimePoint now);
+  bool ConfirmOwnRecord(const PoolRecord& record);
   void Reconcile(const PoolView& view, TimePoint now);
   void ReconcileOne(const UnitKey& key,
                     Reservation& reservation,
@@ -128,23 +131,26 @@
                     Reservation& reservation,
                     const PoolView& view,
                     TimePoint now);
-  void Adopt(const PoolEndpoint& endpoint, const PoolView& view, TimePoint now);
+  void ReserveReportedUnits(const PoolEndpoint& endpoint, const PoolView& view, TimePoint now);
   void PlanMoves(const PoolView& view, PoolEffects& effects, TimePoint now);
-  void Apply(const PlanInput& input, const PlanAction& action, PoolEffects& effects, TimePoint now);
-  bool GoneForGood(const std::string& endpoint, bool listed, TimePoint now);
+  void RecordAction(const PlanInput& input,
+                    const PlanAction& action,
+                    PoolEffects& effects,
+                    TimePoint now);
+  bool IsGonePermanently(const std::string& endpoint, bool listed, TimePoint now);
   void WriteDraft(PoolEffects& effects, TimePoint now);
   void SendOrders(const PoolView& view, PoolEffects& effects, TimePoint now);
-  void Intend(Reservation& reservation, UnitState state);
+  void RecordIntent(Reservation& reservation, UnitState state);
   void LoseLease();
 
   std::string node_;
   std::string incarnation_;
   std::string pool_;
   ResidencySettings settings_;
-  Duration takeover_spread_;  // so that not all nodes try at one moment
+  Duration takeover_jitter_;  // so that nodes don't all try at the same time
 
   PoolRecord stored_;
-  std::optional<StoreRevision> version_;  // empty: not known yet
+  std::optional<StoreRevision> version_;  // empty until known
   bool exists_ = false;
   TimePoint changed_at_;
   PoolRecord draft_;
@@ -155,16 +161,16 @@
   TimePoint planned_at_;
   TimePoint load_sent_at_;
 
-  std::optional<PoolRecord> writing_;
+  std::optional<PoolRecord> pending_write_;
   TimePoint write_started_;
   bool reading_ = false;
   bool must_read_ = false;
 
-  std::map<UnitKey, Order> flights_;
-  std::map<UnitKey, Memory> memories_;
-  std::map<std::string, Quiet> quiet_;
-  std::map<std::string, TimePoint> full_until_;  // endpoints that refused a load for room
-  std::map<std::string, TimePoint> gone_since_;  // endpoints that left the platform's list
+  std::map<UnitKey, Order> orders_in_flight_;
+  std::map<UnitKey, SendState> send_states_;
+  std::map<std::string, SilentSender> silent_senders_;
+  std::map<std::string, TimePoint> full_until_;  // endpoints that rejected a load for memory
+  std::map<std::string, TimePoint> gone_since_;  // endpoints missing from the platform's list
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/residency/pool_record.hpp
+++ b/include/rudderloom/residency/pool_record.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the platform keeps for one pool: its lease and every reservation of accelerator memory.
-/// Both stand in one object, so that a holder whose lease was taken can't write an intent.
+/// The stored record of one pool: its lease and every reservation of accelerator memory. Both are
+/// in one object, so that a former holder can't write an intent after losing its lease.
 #ifndef RUDDERLOOM_RESIDENCY_POOL_RECORD_HPP
 #define RUDDERLOOM_RESIDENCY_POOL_RECORD_HPP
 
@@ -14,30 +14,30 @@
 
 namespace rudderloom {
 
-/// @brief Life of a unit (`name@version`) on an endpoint. Its memory counts in every state.
+/// @brief State of a unit (`name@version`) on an endpoint. Its memory is counted in every state.
 /// @ingroup residency
 enum class UnitState {
-  kLoading,    ///< A load is intended; it may have been sent.
+  kLoading,    ///< A load is recorded and may have been sent.
   kResident,   ///< The endpoint confirmed the load.
-  kUnloading,  ///< An unload is intended; it may have been sent.
-  kLingering,  ///< Unloaded, but a load that nobody answered may still arrive.
+  kUnloading,  ///< An unload is recorded and may have been sent.
+  kLingering,  ///< Unloaded, but an unanswered load may still arrive.
 };
 
-/// @brief Name of a state, as stored and shown.
+/// @brief Returns the state's name as stored and displayed.
 /// @ingroup residency
 std::string_view NameOf(UnitState state);
 
-/// @brief Memory set aside on one endpoint for one unit.
+/// @brief Memory reserved on one endpoint for one unit.
 /// @ingroup residency
 struct Reservation {
   UnitState state = UnitState::kLoading;
   std::uint64_t memory = 0;       ///< Bytes.
-  std::uint64_t sequence = 0;     ///< Of its latest order; grows over the whole pool.
-  std::set<std::string> senders;  ///< Incarnations that may have an unanswered load under way.
+  std::uint64_t sequence = 0;     ///< Of its latest order; increases over the whole pool.
+  std::set<std::string> senders;  ///< Incarnations that may have an unanswered load in flight.
   bool operator==(const Reservation&) const = default;
 };
 
-/// @brief Endpoint and unit.
+/// @brief Endpoint name and unit name.
 /// @ingroup residency
 using UnitKey = std::pair<std::string, std::string>;
 
@@ -45,19 +45,19 @@
 /// @ingroup residency
 struct PoolRecord {
   std::string holder;       ///< Name of the node that holds the lease; empty when released.
-  std::string incarnation;  ///< Of that node's process.
-  std::uint64_t epoch = 0;  ///< Grows each time the lease changes hands.
+  std::string incarnation;  ///< Identifies that node's process.
+  std::uint64_t epoch = 0;  ///< Increases each time the lease changes holder.
   std::uint64_t renewals = 0;
-  std::uint64_t sequence = 0;  ///< Of the latest order.
+  std::uint64_t sequence = 0;  ///< Of the latest order in the pool.
   std::map<UnitKey, Reservation> reservations;
   bool operator==(const PoolRecord&) const = default;
 };
 
-/// @brief As stored.
+/// @brief Returns the record in its stored form.
 /// @ingroup residency
 boost::json::object ToJson(const PoolRecord& record);
 
-/// @brief Reads what ToJson wrote; empty when it makes no sense.
+/// @brief Parses the output of ToJson; empty if it is invalid.
 /// @ingroup residency
 std::optional<PoolRecord> PoolRecordFromJson(const boost::json::object& object);
 
--- a/include/rudderloom/residency/pool_view.hpp
+++ b/include/rudderloom/residency/pool_view.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// What a pool's keeper looks at when it decides: endpoints, wants, and who is quiet.
+/// Input to a pool keeper's decisions: endpoints, wanted units, and senders without outstanding
+/// orders.
 #ifndef RUDDERLOOM_RESIDENCY_POOL_VIEW_HPP
 #define RUDDERLOOM_RESIDENCY_POOL_VIEW_HPP
 
@@ -25,39 +26,40 @@
   std::string availability_zone;
   std::uint64_t memory = 0;
   bool checks_fences = false;
-  bool usable = true;  ///< Live, not leaving, not drained.
+  bool usable = true;  ///< Live, not leaving and not drained.
   double slots = 1.0;
   double load = 0.0;
-  std::uint64_t used = 0;                ///< As reported.
+  std::uint64_t used = 0;                ///< Reported memory use.
   std::optional<TimePoint> reported_at;  ///< Empty before the first report.
-  std::set<std::string> resident;        ///< As reported; lags.
+  std::set<std::string> resident;        ///< Units reported as loaded; reports lag behind.
 };
 
-/// @brief A unit that the configuration wants in this pool.
+/// @brief A unit that the configuration requires in this pool.
 /// @ingroup residency
 struct WantedUnit {
   std::string unit;
-  std::string name;  ///< Without the version.
-  std::string base;  ///< Unit of an adapter's model, else empty.
+  std::string name;  ///< Unit name without the version.
+  std::string base;  ///< For an adapter, the unit of its model; otherwise empty.
   std::uint64_t memory = 0;
   std::int64_t copies = 1;
   double demand = 0.0;
 };
 
-/// @brief Everything a keeper looks at when it ticks.
+/// @brief Input to one tick of a pool keeper.
 /// @ingroup residency
 struct PoolView {
-  bool listed = false;  ///< The platform's list of endpoints has been read.
+  bool listed = false;  ///< True once the platform's list of endpoints has been read.
   std::vector<PoolEndpoint> endpoints;
   std::vector<WantedUnit> wanted;
-  /// @brief True when that incarnation can no longer have an order older than the epoch in hand:
-  /// it said so, or its process has ended.
+  /// @brief Returns true if that incarnation can no longer send an order older than the given
+  /// epoch, because it has said so or its process has ended.
   std::function<bool(const std::string& incarnation, std::uint64_t epoch)> quiet;
 };
 
-/// @brief The planner's input for a pool: its reservations laid over what is seen of it.
-/// @param full Endpoints that refused a load for want of room; they count as full.
-/// @param loads_at_once Loads that may be under way together.
+/// @brief Returns the planner's input for a pool, combining its reservations with the observed
+/// state.
+/// @param full Endpoints that rejected a load for lack of memory; they count as full.
+/// @param loads_at_once Maximum number of concurrent loads.
 /// @ingroup residency
 PlanInput MakePlanInput(const PoolView& view,
                         const std::map<UnitKey, Reservation>& reservations,
--- a/src/rudderloom/residency/planner.cpp
+++ b/src/rudderloom/residency/planner.cpp
@@ -12,81 +12,83 @@
 using Kind = PlanAction::Kind;
 using Reason = PlanAction::Reason;
 
-// A unit asks for one more copy when the endpoints that serve it are this full,
-// and only onto an endpoint that is at most this full. The gap keeps copies from flapping.
-constexpr double kBusy = 0.75;
-constexpr double kIdle = 0.5;
-// How full a copy's endpoint should be after copies were added for demand.
+// A unit gets another copy if all endpoints that serve it have at least the high load, and only on
+// an endpoint with at most the low load. The gap prevents flapping.
+constexpr double kHighLoad = 0.75;
+constexpr double kLowLoad = 0.5;
+// Target load of a copy's endpoint after copies are added for demand.
 constexpr double kTargetLoad = 0.6;
-// Room made by unloading an old version before its successor serves counts as this much dearer.
-constexpr std::uint64_t kBreakPenalty = 64;
+// Cost factor for unloading an old version before its successor serves.
+constexpr std::uint64_t kServiceGapPenalty = 64;
 constexpr std::uint64_t kNewest = std::numeric_limits<std::uint64_t>::max();
 
-// What making room on one endpoint takes.
-struct Room {
+// The units to unload to make room on one endpoint, with the cost.
+struct EvictionPlan {
   std::vector<PlanIndex> victims;
-  std::uint64_t cost = 0;          // bytes to load again, with penalties
-  std::uint64_t oldest = kNewest;  // sequence of the victim that has been there longest
+  std::uint64_t cost = 0;          // bytes to reload, with penalties
+  std::uint64_t oldest = kNewest;  // sequence number of the oldest victim
 
-  bool BetterThan(const Room& other) const {
+  bool IsCheaperThan(const EvictionPlan& other) const {
     return cost != other.cost ? cost < other.cost : oldest < other.oldest;
   }
 };
 
-struct Want {
+struct CopyRequest {
   PlanIndex unit;
   Reason reason;
-  double urgency;  // larger goes first within one reason
+  double urgency;  // higher values go first among equal reasons
 };
 
 class Planner {
  public:
   explicit Planner(PlanInput input) : input_(std::move(input)) {
     serving_.resize(input_.units.size());
-    coming_.resize(input_.units.size());
+    loading_.resize(input_.units.size());
     dependants_.resize(input_.units.size());
     for (const PlanEndpoint& endpoint : input_.endpoints) {
       for (const PlanEntry& entry : endpoint.entries) {
-        CountIn(endpoint, entry);
+        CountEntry(endpoint, entry);
       }
     }
     for (std::size_t i = 0; i < input_.units.size(); ++i) {
       const PlanIndex base = input_.units[i].base;
       if (base != kNoIndex) {
-        dependants_[At(base)].push_back(static_cast<PlanIndex>(i));
+        dependants_[ToSize(base)].push_back(static_cast<PlanIndex>(i));
       }
     }
   }
 
   std::vector<PlanAction> Run() {
-    for (const Want& want : Wants()) {
+    for (const CopyRequest& copy_request : CopyRequests()) {
       if (input_.loads <= 0) {
         break;
       }
-      Satisfy(want);
+      Satisfy(copy_request);
     }
     return std::move(actions_);
   }
 
  private:
-  static std::size_t At(PlanIndex index) { return static_cast<std::size_t>(index); }
+  static std::size_t ToSize(PlanIndex index) { return static_cast<std::size_t>(index); }
 
-  PlanUnit& Unit(PlanIndex index) { return input_.units[At(index)]; }
-  PlanEndpoint& Endpoint(PlanIndex index) { return input_.endpoints[At(index)]; }
+  PlanUnit& Unit(PlanIndex index) { return input_.units[ToSize(index)]; }
+  PlanEndpoint& Endpoint(PlanIndex index) { return input_.endpoints[ToSize(index)]; }
 
-  void CountIn(const PlanEndpoint& endpoint, const PlanEntry& entry) {
+  void CountEntry(const PlanEndpoint& endpoint, const PlanEntry& entry) {
     if (!endpoint.usable) {
       return;
     }
-    moving_ = moving_ || entry.state != UnitState::kResident;
+    changes_pending_ = changes_pending_ || entry.state != UnitState::kResident;
     if (entry.state == UnitState::kResident) {
-      ++serving_[At(entry.unit)];
+      ++serving_[ToSize(entry.unit)];
     } else if (entry.state == UnitState::kLoading) {
-      ++coming_[At(entry.unit)];
+      ++loading_[ToSize(entry.unit)];
     }
   }
 
-  std::int64_t Copies(PlanIndex unit) const { return serving_[At(unit)] + coming_[At(unit)]; }
+  std::int64_t Copies(PlanIndex unit) const {
+    return serving_[ToSize(unit)] + loading_[ToSize(unit)];
+  }
 
   static const PlanEntry* Find(const PlanEndpoint& endpoint, PlanIndex unit) {
     const auto found = std::find_if(endpoint.entries.begin(), endpoint.entries.end(),
@@ -94,13 +96,13 @@
     return found == endpoint.entries.end() ? nullptr : &*found;
   }
 
-  std::uint64_t Free(const PlanEndpoint& endpoint) const {
+  std::uint64_t FreeMemory(const PlanEndpoint& endpoint) const {
     return endpoint.memory > endpoint.taken ? endpoint.memory - endpoint.taken : 0;
   }
 
-  // Everything that asks for a copy, unreachable units first.
-  std::vector<Want> Wants() {
-    std::vector<Want> wants;
+  // All requests for a copy, unreachable units first.
+  std::vector<CopyRequest> CopyRequests() {
+    std::vector<CopyRequest> copy_requests;
     for (std::size_t i = 0; i < input_.units.size(); ++i) {
       const auto index = static_cast<PlanIndex>(i);
       const PlanUnit& unit = input_.units[i];
@@ -108,23 +110,24 @@
         continue;
       }
       if (Copies(index) == 0) {
-        // Large units first: small ones still fit into what is left.
-        wants.push_back({index, Reason::kUnreachable, static_cast<double>(unit.memory)});
+        // Large units first: small ones fit into the remaining memory.
+        copy_requests.push_back({index, Reason::kUnreachable, static_cast<double>(unit.memory)});
       } else if (Copies(index) < unit.copies) {
-        wants.push_back({index, Reason::kWanted, unit.demand});
-      } else if (DemandAsks(index)) {
-        wants.push_back({index, Reason::kDemand, unit.demand});
+        copy_requests.push_back({index, Reason::kWanted, unit.demand});
+      } else if (DemandExceedsCopies(index)) {
+        copy_requests.push_back({index, Reason::kDemand, unit.demand});
       }
     }
-    std::stable_sort(wants.begin(), wants.end(), [](const Want& a, const Want& b) {
-      return a.reason != b.reason ? a.reason < b.reason : a.urgency > b.urgency;
-    });
-    return wants;
+    std::stable_sort(copy_requests.begin(), copy_requests.end(),
+                     [](const CopyRequest& a, const CopyRequest& b) {
+                       return a.reason != b.reason ? a.reason < b.reason : a.urgency > b.urgency;
+                     });
+    return copy_requests;
   }
 
-  // True when every endpoint that serves the unit is busy and its demand would fill one more.
-  bool DemandAsks(PlanIndex index) {
-    if (coming_[At(index)] > 0) {
+  // True if every endpoint that serves the unit is busy and demand exceeds the current copies.
+  bool DemandExceedsCopies(PlanIndex index) {
+    if (loading_[ToSize(index)] > 0) {
       return false;
     }
     double slots = 0.0;
@@ -133,35 +136,35 @@
       if (!endpoint.usable || entry == nullptr || entry->state != UnitState::kResident) {
         continue;
       }
-      if (endpoint.load < kBusy) {
+      if (endpoint.load < kHighLoad) {
         return false;
       }
       slots = std::max(slots, endpoint.slots);
     }
     const double copies = std::ceil(Unit(index).demand / (slots * kTargetLoad + 1e-9));
-    return static_cast<double>(serving_[At(index)]) < copies;
+    return static_cast<double>(serving_[ToSize(index)]) < copies;
   }
 
-  void Satisfy(const Want& want) {
-    if (LoadWhereFree(want)) {
+  void Satisfy(const CopyRequest& copy_request) {
+    if (LoadIntoFreeMemory(copy_request)) {
       return;
     }
-    if (MakeRoom(want)) {
+    if (MakeRoom(copy_request)) {
       return;
     }
-    if (want.reason == Reason::kUnreachable) {
-      Relocate(want.unit);
+    if (copy_request.reason == Reason::kUnreachable) {
+      Relocate(copy_request.unit);
     }
   }
 
-  bool MayTake(const PlanEndpoint& endpoint, const Want& want) {
-    if (!endpoint.usable || Find(endpoint, want.unit) != nullptr) {
+  bool CanHost(const PlanEndpoint& endpoint, const CopyRequest& copy_request) {
+    if (!endpoint.usable || Find(endpoint, copy_request.unit) != nullptr) {
       return false;
     }
-    if (want.reason == Reason::kDemand && endpoint.load > kIdle) {
+    if (copy_request.reason == Reason::kDemand && endpoint.load > kLowLoad) {
       return false;
     }
-    const PlanIndex base = Unit(want.unit).base;
+    const PlanIndex base = Unit(copy_request.unit).base;
     if (base == kNoIndex) {
       return true;
     }
@@ -177,18 +180,19 @@
     return count;
   }
 
-  bool LoadWhereFree(const Want& want) {
+  bool LoadIntoFreeMemory(const CopyRequest& copy_request) {
     PlanIndex best = kNoIndex;
     std::int64_t best_zone = 0;
-    const bool spread = Copies(want.unit) > 0;
+    const bool spread = Copies(copy_request.unit) > 0;
     for (std::size_t i = 0; i < input_.endpoints.size(); ++i) {
       const PlanEndpoint& endpoint = input_.endpoints[i];
-      if (!MayTake(endpoint, want) || Free(endpoint) < Unit(want.unit).memory) {
+      if (!CanHost(endpoint, copy_request) ||
+          FreeMemory(endpoint) < Unit(copy_request.unit).memory) {
         continue;
       }
-      const std::int64_t in_zone = spread ? CopiesInZone(want.unit, endpoint.zone) : 0;
+      const std::int64_t in_zone = spread ? CopiesInZone(copy_request.unit, endpoint.zone) : 0;
       const bool better = best == kNoIndex || in_zone < best_zone ||
-                          (in_zone == best_zone && Better(endpoint, Endpoint(best)));
+                          (in_zone == best_zone && IsBetterTarget(endpoint, Endpoint(best)));
       if (better) {
         best = static_cast<PlanIndex>(i);
         best_zone = in_zone;
@@ -197,81 +201,86 @@
     if (best == kNoIndex) {
       return false;
     }
-    Load(best, want.unit, want.reason);
+    Load(best, copy_request.unit, copy_request.reason);
     return true;
   }
 
-  // The less loaded endpoint, and among equals the one with more room.
-  bool Better(const PlanEndpoint& a, const PlanEndpoint& b) const {
+  // Prefers the endpoint with less load, and at similar load the one with more free memory.
+  bool IsBetterTarget(const PlanEndpoint& a, const PlanEndpoint& b) const {
     constexpr double kSameLoad = 0.25;
     if (std::abs(a.load - b.load) > kSameLoad) {
       return a.load < b.load;
     }
-    return Free(a) > Free(b);
+    return FreeMemory(a) > FreeMemory(b);
   }
 
   void Load(PlanIndex endpoint, PlanIndex unit, Reason reason) {
     actions_.push_back({Kind::kLoad, reason, endpoint, unit});
     Endpoint(endpoint).entries.push_back({unit, UnitState::kLoading, kNewest});
     Endpoint(endpoint).taken += Unit(unit).memory;
-    ++coming_[At(unit)];
+    ++loading_[ToSize(unit)];
     --input_.loads;
-    moving_ = true;
+    changes_pending_ = true;
   }
 
-  // Whether this copy may go for the sake of `want`.
-  bool Expendable(const PlanEndpoint& endpoint, const PlanEntry& entry, const Want& want) {
+  // True if this copy may be unloaded to satisfy `copy_request`.
+  bool MayUnload(const PlanEndpoint& endpoint,
+                 const PlanEntry& entry,
+                 const CopyRequest& copy_request) {
     if (entry.state != UnitState::kResident) {
       return false;
     }
     const PlanUnit& unit = Unit(entry.unit);
-    for (const PlanIndex dependant : dependants_[At(entry.unit)]) {
+    for (const PlanIndex dependant : dependants_[ToSize(entry.unit)]) {
       if (Find(endpoint, dependant) != nullptr) {
         return false;
       }
     }
     if (unit.copies == 0) {
-      // An old version goes while another version serves, or to let the new one in at all.
-      return !BreaksBeforeMake(entry.unit) || (unit.successor == want.unit && !moving_);
-    }
-    const std::int64_t left = serving_[At(entry.unit)] - 1;
-    const bool needed_by_demand = unit.demand > 0.0 && endpoint.load >= kBusy;
-    if (want.reason == Reason::kUnreachable) {
-      return left >= 1;
-    }
-    return left >= unit.copies && !needed_by_demand && unit.demand <= Unit(want.unit).demand;
+      // An old version may be unloaded while another version serves, or if the new one cannot be
+      // loaded otherwise.
+      return !InterruptsService(entry.unit) ||
+             (unit.successor == copy_request.unit && !changes_pending_);
+    }
+    const std::int64_t remaining_copies = serving_[ToSize(entry.unit)] - 1;
+    const bool needed_by_demand = unit.demand > 0.0 && endpoint.load >= kHighLoad;
+    if (copy_request.reason == Reason::kUnreachable) {
+      return remaining_copies >= 1;
+    }
+    return remaining_copies >= unit.copies && !needed_by_demand &&
+           unit.demand <= Unit(copy_request.unit).demand;
   }
 
-  // Unloads expendable copies on the endpoint where the fewest bytes must go.
-  bool MakeRoom(const Want& want) {
+  // Unloads copies on the endpoint where making room costs least.
+  bool MakeRoom(const CopyRequest& copy_request) {
     PlanIndex best = kNoIndex;
-    Room best_room;
-    const std::uint64_t needed = Unit(want.unit).memory;
+    EvictionPlan best_eviction;
+    const std::uint64_t needed = Unit(copy_request.unit).memory;
     for (std::size_t i = 0; i < input_.endpoints.size(); ++i) {
       const PlanEndpoint& endpoint = input_.endpoints[i];
-      if (!MayTake(endpoint, want)) {
+      if (!CanHost(endpoint, copy_request)) {
         continue;
       }
-      if (Free(endpoint) + Going(endpoint) >= needed) {
-        return true;  // room is already being made here
+      if (FreeMemory(endpoint) + UnloadingMemory(endpoint) >= needed) {
+        return true;  // room is already being made on this endpoint
       }
-      auto room = RoomOn(endpoint, want);
-      if (room && (best == kNoIndex || room->BetterThan(best_room))) {
+      auto eviction = PlanEviction(endpoint, copy_request);
+      if (eviction && (best == kNoIndex || eviction->IsCheaperThan(best_eviction))) {
         best = static_cast<PlanIndex>(i);
-        best_room = std::move(*room);
+        best_eviction = std::move(*eviction);
       }
     }
     if (best == kNoIndex) {
       return false;
     }
-    for (const PlanIndex victim : best_room.victims) {
+    for (const PlanIndex victim : best_eviction.victims) {
       Unload(best, victim);
     }
     return true;
   }
 
-  // Memory of units that are on their way out.
-  std::uint64_t Going(const PlanEndpoint& endpoint) {
+  // Memory of units that are being unloaded.
+  std::uint64_t UnloadingMemory(const PlanEndpoint& endpoint) {
     std::uint64_t bytes = 0;
     for (const PlanEntry& entry : endpoint.entries) {
       if (entry.state == UnitState::kUnloading || entry.state == UnitState::kLingering) {
@@ -281,31 +290,34 @@
     return bytes;
   }
 
-  std::optional<Room> RoomOn(const PlanEndpoint& endpoint, const Want& want) {
-    const std::uint64_t needed = Unit(want.unit).memory;
-    std::uint64_t free = Free(endpoint) + Going(endpoint);
-    Room room;
-    for (const PlanEntry& entry : Candidates(endpoint, want)) {
+  std::optional<EvictionPlan> PlanEviction(const PlanEndpoint& endpoint,
+                                           const CopyRequest& copy_request) {
+    const std::uint64_t needed = Unit(copy_request.unit).memory;
+    std::uint64_t free = FreeMemory(endpoint) + UnloadingMemory(endpoint);
+    EvictionPlan eviction;
+    for (const PlanEntry& entry : Candidates(endpoint, copy_request)) {
       if (free >= needed) {
         break;
       }
       free += Unit(entry.unit).memory;
-      room.cost += Unit(entry.unit).memory * (BreaksBeforeMake(entry.unit) ? kBreakPenalty : 1);
-      room.oldest = std::min(room.oldest, entry.sequence);
-      room.victims.push_back(entry.unit);
+      eviction.cost +=
+          Unit(entry.unit).memory * (InterruptsService(entry.unit) ? kServiceGapPenalty : 1);
+      eviction.oldest = std::min(eviction.oldest, entry.sequence);
+      eviction.victims.push_back(entry.unit);
     }
     if (free < needed) {
       return std::nullopt;
     }
-    return room;
+    return eviction;
   }
 
-  // What may go from an endpoint: undeclared units first and the oldest of them, so that the
-  // version before the present one is there for a rollback; then the least asked for.
-  std::vector<PlanEntry> Candidates(const PlanEndpoint& endpoint, const Want& want) {
+  // Units that may be unloaded from an endpoint: undeclared units first, then by demand, lowest
+  // first, and the oldest first among equals, so that the previous version stays available for a
+  // rollback.
+  std::vector<PlanEntry> Candidates(const PlanEndpoint& endpoint, const CopyRequest& copy_request) {
     std::vector<PlanEntry> candidates;
     for (const PlanEntry& entry : endpoint.entries) {
-      if (Expendable(endpoint, entry, want) && entry.unit != Unit(want.unit).base) {
+      if (MayUnload(endpoint, entry, copy_request) && entry.unit != Unit(copy_request.unit).base) {
         candidates.push_back(entry);
       }
     }
@@ -324,13 +336,13 @@
     return candidates;
   }
 
-  // True when unloading this copy leaves its name unserved until the new version is loaded.
-  bool BreaksBeforeMake(PlanIndex unit) {
+  // True if unloading this copy leaves its name unserved until the new version is loaded.
+  bool InterruptsService(PlanIndex unit) {
     const PlanIndex successor = Unit(unit).successor;
     if (successor == kNoIndex) {
       return false;
     }
-    std::int64_t others = serving_[At(successor)] - 1;
+    std::int64_t others = serving_[ToSize(successor)] - 1;
     for (std::size_t i = 0; i < input_.units.size(); ++i) {
       others += input_.units[i].successor == successor ? serving_[i] : 0;
     }
@@ -344,26 +356,26 @@
         entry.state = UnitState::kUnloading;
       }
     }
-    --serving_[At(unit)];
-    moving_ = true;
+    --serving_[ToSize(unit)];
+    changes_pending_ = true;
   }
 
-  // Room for a unit that fits nowhere: copies a single unit elsewhere, so that a later plan may
+  // Handles a unit that fits nowhere: copies one unit to another endpoint, so that a later plan may
   // unload it here.
   void Relocate(PlanIndex unit) {
     const std::uint64_t needed = Unit(unit).memory;
     for (PlanEndpoint& endpoint : input_.endpoints) {
-      const Want want{unit, Reason::kUnreachable, 0.0};
-      if (!MayTake(endpoint, want)) {
+      const CopyRequest copy_request{unit, Reason::kUnreachable, 0.0};
+      if (!CanHost(endpoint, copy_request)) {
         continue;
       }
       for (const PlanEntry& entry : endpoint.entries) {
-        const bool enough = Free(endpoint) + Unit(entry.unit).memory >= needed;
-        if (entry.state != UnitState::kResident || !enough || coming_[At(entry.unit)] > 0 ||
-            HasDependants(endpoint, entry.unit)) {
+        const bool frees_enough = FreeMemory(endpoint) + Unit(entry.unit).memory >= needed;
+        if (entry.state != UnitState::kResident || !frees_enough ||
+            loading_[ToSize(entry.unit)] > 0 || HasDependants(endpoint, entry.unit)) {
           continue;
         }
-        if (LoadWhereFree({entry.unit, Reason::kRelocate, 0.0})) {
+        if (LoadIntoFreeMemory({entry.unit, Reason::kRelocate, 0.0})) {
           return;
         }
       }
@@ -371,17 +383,17 @@
   }
 
   bool HasDependants(const PlanEndpoint& endpoint, PlanIndex unit) {
-    const auto& dependants = dependants_[At(unit)];
+    const auto& dependants = dependants_[ToSize(unit)];
     return std::any_of(dependants.begin(), dependants.end(),
                        [&](PlanIndex dependant) { return Find(endpoint, dependant) != nullptr; });
   }
 
   PlanInput input_;
   std::vector<std::int64_t> serving_;
-  std::vector<std::int64_t> coming_;
+  std::vector<std::int64_t> loading_;
   std::vector<std::vector<PlanIndex>> dependants_;
   std::vector<PlanAction> actions_;
-  bool moving_ = false;  // something is on its way that may make room without breaking anything
+  bool changes_pending_ = false;  // a pending change may make room without interrupting service
 };
 
 }  // namespace
--- a/src/rudderloom/residency/pool_keeper.cpp
+++ b/src/rudderloom/residency/pool_keeper.cpp
@@ -7,15 +7,16 @@
 
 namespace {
 
-// A load report may be this old; a unit that misses from reports for longer is really gone.
+// Maximum age of a load report; a unit missing from reports for longer is really gone.
 constexpr Duration kReportLag{3'000};
-// Between the record of an unload and its sending, so that entry nodes stop routing there first.
-constexpr Duration kWithdrawTime{300};
-constexpr Duration kRetryUnanswered{1'000};
-constexpr Duration kRetryRefused{2'000};
-// An endpoint that refused a load for want of room gets no further one for this long.
-constexpr Duration kFullTime{5'000};
-constexpr std::size_t kTakeoverSpreadMs = 1'000;
+// Delay between recording and sending an unload, so that entry nodes first stop routing to the
+// unit.
+constexpr Duration kDrainTime{300};
+constexpr Duration kUnansweredRetryDelay{1'000};
+constexpr Duration kRejectedRetryDelay{2'000};
+// An endpoint that rejected a load for lack of memory gets no further load for this long.
+constexpr Duration kFullEndpointBackoff{5'000};
+constexpr std::size_t kMaxTakeoverJitterMs = 1'000;
 
 }  // namespace
 
@@ -27,18 +28,18 @@
       incarnation_(std::move(incarnation)),
       pool_(std::move(pool)),
       settings_(settings),
-      takeover_spread_(static_cast<Duration::rep>(std::hash<std::string>{}(node_ + "/" + pool_) %
-                                                  kTakeoverSpreadMs)) {}
+      takeover_jitter_(static_cast<Duration::rep>(std::hash<std::string>{}(node_ + "/" + pool_) %
+                                                  kMaxTakeoverJitterMs)) {}
 
 void PoolKeeper::OrderEnded(const Order& order, OrderOutcome outcome, TimePoint now) {
   const UnitKey key{order.endpoint, order.unit};
-  const auto flight = flights_.find(key);
-  if (flight != flights_.end() && flight->second.sequence == order.sequence) {
-    flights_.erase(flight);
+  const auto in_flight = orders_in_flight_.find(key);
+  if (in_flight != orders_in_flight_.end() && in_flight->second.sequence == order.sequence) {
+    orders_in_flight_.erase(in_flight);
   }
-  Memory& memory = memories_[key];
+  SendState& send_state = send_states_[key];
   if (outcome == OrderOutcome::kUnknown && order.load) {
-    memory.unanswered_until = now + settings_.late_order_bound;
+    send_state.unanswered_until = now + settings_.late_order_bound;
   }
   const auto found = draft_.reservations.find(key);
   const bool current = holding_ && order.epoch == draft_.epoch &&
@@ -50,32 +51,33 @@
   Reservation& reservation = found->second;
   switch (outcome) {
     case OrderOutcome::kDone:
-      memory.settled_at = now;
-      memory.missing_since.reset();
+      send_state.settled_at = now;
+      send_state.missing_since.reset();
       if (order.load) {
         reservation.state = UnitState::kResident;
       } else {
-        // Whether the memory is free is decided where the endpoint's marks are known.
+        // Reconcile decides whether the memory is free, where the endpoint's fence support is
+        // known.
         reservation.state = UnitState::kLingering;
       }
       break;
     case OrderOutcome::kFenced:
       must_read_ = true;
-      memory.retry_at = now + kRetryRefused;
+      send_state.retry_at = now + kRejectedRetryDelay;
       break;
     case OrderOutcome::kNoMemory:
-      memory.retry_at = now + kRetryRefused;
-      full_until_[order.endpoint] = now + kFullTime;
-      if (order.load && !memory.unanswered_until && reservation.senders.size() <= 1) {
+      send_state.retry_at = now + kRejectedRetryDelay;
+      full_until_[order.endpoint] = now + kFullEndpointBackoff;
+      if (order.load && !send_state.unanswered_until && reservation.senders.size() <= 1) {
         draft_.reservations.erase(found);
       }
       break;
     case OrderOutcome::kNotYet:
     case OrderOutcome::kNotSent:
-      memory.retry_at = now + kRetryRefused;
+      send_state.retry_at = now + kRejectedRetryDelay;
       break;
     case OrderOutcome::kUnknown:
-      memory.retry_at = now + kRetryUnanswered;
+      send_state.retry_at = now + kUnansweredRetryDelay;
       break;
   }
 }
@@ -83,13 +85,13 @@
 PoolEffects PoolKeeper::Tick(const PoolView& view, TimePoint now) {
   PoolEffects effects;
   if (must_read_ || !version_) {
-    if (!reading_ && !writing_) {
+    if (!reading_ && !pending_write_) {
       reading_ = true;
       effects.push_back(ReadPool{pool_});
     }
     return effects;
   }
-  if (writing_) {
+  if (pending_write_) {
     return effects;
   }
   if (!holding_) {
@@ -97,8 +99,8 @@
     return effects;
   }
   if (stopping_) {
-    // Orders in flight are waited for: their outcome belongs into the record.
-    if (flights_.empty()) {
+    // Waits for orders in flight, whose outcomes must be recorded.
+    if (orders_in_flight_.empty()) {
       draft_.holder.clear();
       WriteDraft(effects, now);
     }
@@ -121,7 +123,7 @@
   return effects;
 }
 
-void PoolKeeper::Intend(Reservation& reservation, UnitState state) {
+void PoolKeeper::RecordIntent(Reservation& reservation, UnitState state) {
   reservation.state = state;
   reservation.sequence = ++draft_.sequence;
   if (state == UnitState::kLoading) {
@@ -135,7 +137,7 @@
         std::find_if(view.endpoints.begin(), view.endpoints.end(),
                      [&](const PoolEndpoint& known) { return known.name == entry->first.first; });
     if (endpoint == view.endpoints.end()) {
-      const bool gone = GoneForGood(entry->first.first, view.listed, now);
+      const bool gone = IsGonePermanently(entry->first.first, view.listed, now);
       entry = gone ? draft_.reservations.erase(entry) : std::next(entry);
       continue;
     }
@@ -147,12 +149,12 @@
     entry = freed ? draft_.reservations.erase(entry) : std::next(entry);
   }
   for (const PoolEndpoint& endpoint : view.endpoints) {
-    Adopt(endpoint, view, now);
+    ReserveReportedUnits(endpoint, view, now);
   }
 }
 
-// The platform's list lags, so an endpoint that left it keeps its reservations for a while.
-bool PoolKeeper::GoneForGood(const std::string& endpoint, bool listed, TimePoint now) {
+// The platform's list lags, so an endpoint missing from it keeps its reservations for a while.
+bool PoolKeeper::IsGonePermanently(const std::string& endpoint, bool listed, TimePoint now) {
   if (!listed) {
     gone_since_.erase(endpoint);
     return false;
@@ -168,23 +170,23 @@
   if (reservation.senders.empty()) {
     return;
   }
-  Memory& memory = memories_[key];
-  if (memory.unanswered_until && now >= *memory.unanswered_until) {
-    memory.unanswered_until.reset();
+  SendState& send_state = send_states_[key];
+  if (send_state.unanswered_until && now >= *send_state.unanswered_until) {
+    send_state.unanswered_until.reset();
   }
   for (auto sender = reservation.senders.begin(); sender != reservation.senders.end();) {
     bool silent = false;
     if (*sender == incarnation_) {
-      silent = !memory.unanswered_until && !flights_.contains(key) &&
+      silent = !send_state.unanswered_until && !orders_in_flight_.contains(key) &&
                reservation.state != UnitState::kLoading;
     } else {
-      Quiet& quiet = quiet_[*sender];
+      SilentSender& silent_sender = silent_senders_[*sender];
       if (!view.quiet(*sender, draft_.epoch)) {
-        quiet.since.reset();
-      } else if (!quiet.since) {
-        quiet.since = now;
+        silent_sender.since.reset();
+      } else if (!silent_sender.since) {
+        silent_sender.since = now;
       }
-      silent = quiet.since && now - *quiet.since >= settings_.late_order_bound;
+      silent = silent_sender.since && now - *silent_sender.since >= settings_.late_order_bound;
     }
     sender = silent ? reservation.senders.erase(sender) : std::next(sender);
   }
@@ -196,42 +198,44 @@
                               const PoolView& view,
                               TimePoint now) {
   ClearSenders(key, reservation, view, now);
-  Memory& memory = memories_[key];
+  SendState& send_state = send_states_[key];
   const bool settled =
       reservation.state == UnitState::kResident || reservation.state == UnitState::kLingering;
-  if (settled && !memory.settled_at) {
-    memory.settled_at = now;  // taken over: give the reports time to speak
+  if (settled && !send_state.settled_at) {
+    send_state.settled_at = now;  // just taken over: wait for newer reports
   }
   const bool reported = endpoint.resident.contains(key.second);
-  const bool fresh = endpoint.reported_at && memory.settled_at &&
-                     *endpoint.reported_at - *memory.settled_at >= kReportLag;
+  const bool report_is_current = endpoint.reported_at && send_state.settled_at &&
+                                 *endpoint.reported_at - *send_state.settled_at >= kReportLag;
   if (reservation.state == UnitState::kResident) {
-    if (reported || !fresh) {
-      memory.missing_since.reset();
-    } else if (!memory.missing_since) {
-      memory.missing_since = now;
-    } else if (now - *memory.missing_since >= kReportLag) {
-      // The endpoint restarted or lost the unit. Its room is still reserved: load it again.
-      memory = {};
-      Intend(reservation, UnitState::kLoading);
+    if (reported || !report_is_current) {
+      send_state.missing_since.reset();
+    } else if (!send_state.missing_since) {
+      send_state.missing_since = now;
+    } else if (now - *send_state.missing_since >= kReportLag) {
+      // The endpoint restarted or lost the unit. Its memory is still reserved, so load it again.
+      send_state = {};
+      RecordIntent(reservation, UnitState::kLoading);
     }
     return;
   }
-  if (reservation.state == UnitState::kLingering && reported && fresh) {
+  if (reservation.state == UnitState::kLingering && reported && report_is_current) {
     // A late load took effect after the unload.
-    memory = {};
-    Intend(reservation, UnitState::kUnloading);
+    send_state = {};
+    RecordIntent(reservation, UnitState::kUnloading);
   }
 }
 
-void PoolKeeper::Adopt(const PoolEndpoint& endpoint, const PoolView& view, TimePoint now) {
+void PoolKeeper::ReserveReportedUnits(const PoolEndpoint& endpoint,
+                                      const PoolView& view,
+                                      TimePoint now) {
   for (const std::string& unit : endpoint.resident) {
     const UnitKey key{endpoint.name, unit};
-    const std::optional<TimePoint> settled_at = memories_[key].settled_at;
-    const bool lags =
+    const std::optional<TimePoint> settled_at = send_states_[key].settled_at;
+    const bool report_lags =
         settled_at && endpoint.reported_at && *endpoint.reported_at - *settled_at < kReportLag;
-    if (draft_.reservations.contains(key) || lags) {
-      continue;  // known, or unloaded just now and the report lags
+    if (draft_.reservations.contains(key) || report_lags) {
+      continue;  // known, or just unloaded and the report lags
     }
     Reservation reservation;
     reservation.state = UnitState::kResident;
@@ -239,13 +243,13 @@
     for (const WantedUnit& wanted : view.wanted) {
       reservation.memory = wanted.unit == unit ? wanted.memory : reservation.memory;
     }
-    memories_[key].settled_at = now;
+    send_states_[key].settled_at = now;
     draft_.reservations[key] = reservation;
   }
 }
 
 void PoolKeeper::PlanMoves(const PoolView& view, PoolEffects& effects, TimePoint now) {
-  // A holder that just took over first hears what the endpoints hold.
+  // A new holder first waits for the reports of all usable endpoints.
   for (const PoolEndpoint& endpoint : view.endpoints) {
     if (endpoint.usable && !endpoint.reported_at) {
       return;
@@ -261,44 +265,44 @@
   }
   const PlanInput input = MakePlanInput(view, draft_.reservations, full, settings_.loads_at_once);
   for (const PlanAction& action : Plan(input)) {
-    Apply(input, action, effects, now);
+    RecordAction(input, action, effects, now);
   }
 }
 
-void PoolKeeper::Apply(const PlanInput& input,
-                       const PlanAction& action,
-                       PoolEffects& effects,
-                       TimePoint now) {
+void PoolKeeper::RecordAction(const PlanInput& input,
+                              const PlanAction& action,
+                              PoolEffects& effects,
+                              TimePoint now) {
   const std::string& endpoint = input.endpoints[static_cast<std::size_t>(action.endpoint)].name;
   const PlanUnit& unit = input.units[static_cast<std::size_t>(action.unit)];
   const UnitKey key{endpoint, unit.name};
   if (action.kind == PlanAction::Kind::kLoad) {
     Reservation reservation;
     reservation.memory = unit.memory;
-    Intend(reservation, UnitState::kLoading);
+    RecordIntent(reservation, UnitState::kLoading);
     draft_.reservations[key] = reservation;
-    memories_[key] = {};
+    send_states_[key] = {};
   } else {
-    Intend(draft_.reservations[key], UnitState::kUnloading);
-    memories_[key].retry_at = now + kWithdrawTime;
+    RecordIntent(draft_.reservations[key], UnitState::kUnloading);
+    send_states_[key].retry_at = now + kDrainTime;
   }
   effects.push_back(MoveDecided{endpoint, unit.name, action.kind, action.reason});
 }
 
 void PoolKeeper::SendOrders(const PoolView& view, PoolEffects& effects, TimePoint now) {
-  const Duration between_loads(
+  const Duration min_load_interval(
       static_cast<Duration::rep>(1000.0 / std::max(settings_.loads_per_second, 0.1)));
   for (const auto& [key, reservation] : stored_.reservations) {
     const bool load = reservation.state == UnitState::kLoading;
     const bool unload = reservation.state == UnitState::kUnloading;
-    if ((!load && !unload) || flights_.contains(key)) {
+    if ((!load && !unload) || orders_in_flight_.contains(key)) {
       continue;
     }
-    const Memory& memory = memories_[key];
-    if (memory.retry_at && now < *memory.retry_at) {
+    const SendState& send_state = send_states_[key];
+    if (send_state.retry_at && now < *send_state.retry_at) {
       continue;
     }
-    if (load && now - load_sent_at_ < between_loads) {
+    if (load && now - load_sent_at_ < min_load_interval) {
       continue;
     }
     const auto endpoint =
@@ -317,7 +321,7 @@
     order.epoch = stored_.epoch;
     order.sequence = reservation.sequence;
     order.valid_until = lease_until_;
-    flights_[key] = order;
+    orders_in_flight_[key] = order;
     if (load) {
       load_sent_at_ = now;
     }
--- a/src/rudderloom/residency/pool_keeper_test.cpp
+++ b/src/rudderloom/residency/pool_keeper_test.cpp
@@ -1,4 +1,4 @@
-// The fault matrix of orders and leases: every fault at every step, on a virtual clock.
+// Fault matrix of orders and leases: every fault at every step, on a virtual clock.
 #include "rudderloom/residency/pool_keeper.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
@@ -31,25 +31,26 @@
     Fault::kPlatformRestored,
 };
 
-// The longest that a name may go unserved: not at all while its endpoints stay, else until the
-// loss is noticed and another copy is loaded, which a lapsed lease may delay. A third of the
-// memory is gone then, so that a new copy may have to wait for room that a late order might take.
-Duration AllowedGap(Step step, const std::vector<Fault>& faults) {
+// Maximum time a name may be unserved: zero if no endpoint is lost; otherwise until the loss is
+// detected and another copy is loaded, which a lapsed lease may delay. A third of the memory is
+// then gone, so a new copy may have to wait for memory that a late order might take.
+Duration MaxServiceGap(Step step, const std::vector<Fault>& faults) {
   bool endpoint_lost = false;
-  bool holder_away = static_cast<int>(step) > static_cast<int>(Step::kRecorded);
+  bool holder_disrupted = static_cast<int>(step) > static_cast<int>(Step::kRecorded);
   for (const Fault fault : faults) {
-    const bool loses = fault == Fault::kEndpointKilled || fault == Fault::kEndpointRestarted ||
-                       fault == Fault::kEndpointLeaving;
-    endpoint_lost = endpoint_lost || loses;
-    holder_away = holder_away || !loses;
+    const bool loses_endpoint = fault == Fault::kEndpointKilled ||
+                                fault == Fault::kEndpointRestarted ||
+                                fault == Fault::kEndpointLeaving;
+    endpoint_lost = endpoint_lost || loses_endpoint;
+    holder_disrupted = holder_disrupted || !loses_endpoint;
   }
   if (!endpoint_lost) {
     return Duration(0);
   }
-  return holder_away ? Duration(60'000) : Duration(20'000);
+  return holder_disrupted ? Duration(60'000) : Duration(20'000);
 }
 
-bool IsAboutOrders(Step step) {
+bool IsOrderStep(Step step) {
   return static_cast<int>(step) <= static_cast<int>(Step::kRecorded);
 }
 
@@ -62,17 +63,17 @@
   return title;
 }
 
-// True when the run kept every promise.
-bool Holds(const WorldSettings& settings) {
+// True if the run met all guarantees.
+bool MeetsGuarantees(const WorldSettings& settings) {
   const Findings findings = PoolWorld(settings).Run();
-  const bool good = findings.overcommits == 0 && findings.converged && findings.step_reached &&
-                    findings.longest_gap <= AllowedGap(settings.step, settings.faults);
-  if (!good) {
+  const bool passed = findings.overcommits == 0 && findings.converged && findings.step_reached &&
+                      findings.longest_gap <= MaxServiceGap(settings.step, settings.faults);
+  if (!passed) {
     MESSAGE(Title(settings), ": overcommits ", findings.overcommits, ", converged ",
             findings.converged, ", reached ", findings.step_reached, ", gap ",
             findings.longest_gap.count(), " ms\n", findings.story);
   }
-  return good;
+  return passed;
 }
 
 void CheckAll(const std::vector<Step>& steps) {
@@ -81,7 +82,7 @@
       bool proved = true;
       for (const bool fences : {false, true}) {
         for (const bool load : {true, false}) {
-          if (!load && !IsAboutOrders(step)) {
+          if (!load && !IsOrderStep(step)) {
             continue;
           }
           WorldSettings settings;
@@ -89,7 +90,7 @@
           settings.on_load = load;
           settings.checks_fences = fences;
           settings.faults = {fault};
-          proved = Holds(settings) && proved;
+          proved = MeetsGuarantees(settings) && proved;
         }
       }
       CHECK(proved);
@@ -102,7 +103,7 @@
 
 }  // namespace
 
-TEST_CASE("without faults: new versions come in, nothing is ever unserved, no move is wasted") {
+TEST_CASE("without faults: new versions are loaded without service gaps or unnecessary moves") {
   for (const bool fences : {false, true}) {
     WorldSettings settings;
     settings.checks_fences = fences;
@@ -111,8 +112,8 @@
     CHECK(findings.overcommits == 0);
     CHECK(findings.converged);
     CHECK(findings.longest_gap == Duration(0));
-    // Four loads at first, one for each of 22 new versions, and an unload for each but the two
-    // that found room.
+    // Four initial loads, one for each of 22 new versions, and an unload for each new version
+    // except two that found free memory.
     CHECK(findings.moves == 4 + 22 + 20);
   }
 }
@@ -151,7 +152,7 @@
         settings.step = step;
         settings.checks_fences = fences;
         settings.faults = {one, other};
-        proved = Holds(settings) && proved;
+        proved = MeetsGuarantees(settings) && proved;
       }
       CHECK(proved);
       if (proved) {
--- a/src/rudderloom/residency/pool_lease.cpp
+++ b/src/rudderloom/residency/pool_lease.cpp
@@ -1,4 +1,4 @@
-// How the keeper of a pool reads, takes, renews and loses the pool's lease.
+// Lease handling of the pool keeper: reading, acquiring, renewing and losing the lease.
 #include <algorithm>  // for min
 #include <utility>    // for move
 
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The lease ends this much earlier for its holder than for everyone else.
+// The holder considers its lease expired this much earlier than all other nodes do.
 constexpr Duration kLeaseMargin{500};
 
 }  // namespace
@@ -19,7 +19,7 @@
                       PoolSight sight,
                       TimePoint now) {
   reading_ = false;
-  // A watch that is behind must not undo what is known to be written.
+  // An outdated watch must not undo a known write.
   const bool older = IsOlder(record);
   if (older && sight == PoolSight::kWatched) {
     return;
@@ -31,7 +31,7 @@
   exists_ = version.has_value();
   version_ = version.value_or(StoreRevision());
   if (older) {
-    TakeCopy(now);
+    HandleRestoredCopy(now);
     return;
   }
   if (!changed) {
@@ -39,7 +39,7 @@
   }
   changed_at_ = now;
   stored_ = record;
-  if (!HeardBack(record) && holding_) {
+  if (!ConfirmOwnRecord(record) && holding_) {
     LoseLease();
   }
 }
@@ -49,10 +49,10 @@
          (record.epoch == stored_.epoch && record.renewals < stored_.renewals);
 }
 
-// What was written is still so, and the next write on the copy's version tells it again: else no
-// write would ever succeed. A holder whose time is over may have had a successor whose record is
-// gone, so it waits like everybody else.
-void PoolKeeper::TakeCopy(TimePoint now) {
+// The written state remains valid, and the next write, conditional on the copy's revision, restores
+// it; otherwise no write would ever succeed. A holder whose lease has expired may have had a
+// successor whose record is lost, so it waits like every other node.
+void PoolKeeper::HandleRestoredCopy(TimePoint now) {
   changed_at_ = now;
   if (holding_ && !Holds(now)) {
     LoseLease();
@@ -63,29 +63,30 @@
       .With("renewals", stored_.renewals);
 }
 
-// True when the record is this holder's own; a write whose answer was lost is taken as done here.
-bool PoolKeeper::HeardBack(const PoolRecord& record) {
-  const bool ours =
+// True if the record is this holder's own. A write whose answer was lost is treated as successful
+// here.
+bool PoolKeeper::ConfirmOwnRecord(const PoolRecord& record) {
+  const bool is_own_record =
       record.incarnation == incarnation_ && !record.holder.empty() && record.epoch == draft_.epoch;
-  if (ours && record.renewals == draft_.renewals) {
+  if (is_own_record && record.renewals == draft_.renewals) {
     holding_ = true;
     renewed_at_ = write_started_;
     lease_until_ = write_started_ + settings_.lease - kLeaseMargin;
   }
-  return ours;
+  return is_own_record;
 }
 
 void PoolKeeper::LoseLease() {
   holding_ = false;
-  memories_.clear();
+  send_states_.clear();
 }
 
 void PoolKeeper::Written(const StoreRevision& version, TimePoint now) {
-  if (!writing_) {
+  if (!pending_write_) {
     return;
   }
-  stored_ = std::move(*writing_);
-  writing_.reset();
+  stored_ = std::move(*pending_write_);
+  pending_write_.reset();
   version_ = version;
   exists_ = true;
   changed_at_ = now;
@@ -99,7 +100,7 @@
 }
 
 void PoolKeeper::WriteFailed(TimePoint) {
-  writing_.reset();
+  pending_write_.reset();
   must_read_ = true;
 }
 
@@ -110,7 +111,7 @@
 
 std::uint64_t PoolKeeper::QuietEpoch() const {
   std::uint64_t quiet = stored_.epoch;
-  for (const auto& [key, order] : flights_) {
+  for (const auto& [key, order] : orders_in_flight_) {
     quiet = std::min(quiet, order.epoch);
   }
   return quiet;
@@ -118,32 +119,32 @@
 
 void PoolKeeper::TryTakeOver(PoolEffects& effects, TimePoint now) {
   const bool free = !exists_ || stored_.holder.empty();
-  const Duration patience =
-      free ? takeover_spread_ / 4 : settings_.lease + kLeaseMargin + takeover_spread_;
-  if (stopping_ || now - changed_at_ < patience) {
+  const Duration takeover_delay =
+      free ? takeover_jitter_ / 4 : settings_.lease + kLeaseMargin + takeover_jitter_;
+  if (stopping_ || now - changed_at_ < takeover_delay) {
     return;
   }
-  TakeOverDraft();
+  PrepareTakeover();
   WriteDraft(effects, now);
 }
 
-void PoolKeeper::TakeOverDraft() {
+void PoolKeeper::PrepareTakeover() {
   draft_ = stored_;
   draft_.holder = node_;
   draft_.incarnation = incarnation_;
   ++draft_.epoch;
-  // Orders that the former holder intended are issued anew under the new epoch. Its own sends
-  // may still arrive, so it stays among the senders.
+  // Orders recorded by the former holder are reissued under the new epoch. Its own orders may still
+  // arrive, so it remains among the senders.
   for (auto& [key, reservation] : draft_.reservations) {
     if (reservation.state == UnitState::kLoading || reservation.state == UnitState::kUnloading) {
-      Intend(reservation, reservation.state);
+      RecordIntent(reservation, reservation.state);
     }
   }
 }
 
 void PoolKeeper::WriteDraft(PoolEffects& effects, TimePoint now) {
   ++draft_.renewals;
-  writing_ = draft_;
+  pending_write_ = draft_;
   write_started_ = now;
   effects.push_back(WritePool{pool_, draft_, *version_});
 }
--- a/src/rudderloom/residency/pool_view.cpp
+++ b/src/rudderloom/residency/pool_view.cpp
@@ -10,20 +10,20 @@
   return unit.substr(0, unit.find('@'));
 }
 
-// Fills a PlanInput and keeps which index stands for which name.
-class InputMaker {
+// Builds a PlanInput and maps names to indices.
+class PlanInputBuilder {
  public:
   void AddWanted(const std::vector<WantedUnit>& wanted) {
-    for (const WantedUnit& each : wanted) {
-      const PlanIndex index = Add(each.unit, each.memory);
-      by_name_[each.name] = index;
-      Unit(index).copies = each.copies;
-      Unit(index).demand = each.demand;
+    for (const WantedUnit& wanted_unit : wanted) {
+      const PlanIndex index = Add(wanted_unit.unit, wanted_unit.memory);
+      by_name_[wanted_unit.name] = index;
+      Unit(index).copies = wanted_unit.copies;
+      Unit(index).demand = wanted_unit.demand;
     }
-    for (const WantedUnit& each : wanted) {
-      const auto base = units_.find(each.base);
+    for (const WantedUnit& wanted_unit : wanted) {
+      const auto base = units_.find(wanted_unit.base);
       if (base != units_.end()) {
-        Unit(units_.at(each.unit)).base = base->second;
+        Unit(units_.at(wanted_unit.unit)).base = base->second;
       }
     }
   }
@@ -56,8 +56,9 @@
     loading_ += reservation.state == UnitState::kLoading ? 1 : 0;
   }
 
-  // Takes the endpoints' own word where that is more than what is reserved.
-  void Raise(const std::vector<PoolEndpoint>& endpoints, const std::set<std::string>& full) {
+  // Raises the used memory to the endpoints' reported use where that exceeds the reservations.
+  void ApplyReportedUsage(const std::vector<PoolEndpoint>& endpoints,
+                          const std::set<std::string>& full) {
     for (std::size_t i = 0; i < endpoints.size(); ++i) {
       PlanEndpoint& endpoint = input_.endpoints[i];
       endpoint.taken = std::max(endpoint.taken, endpoints[i].used);
@@ -67,7 +68,7 @@
     }
   }
 
-  PlanInput Finish(std::int64_t loads_at_once) {
+  PlanInput Build(std::int64_t loads_at_once) {
     input_.loads = std::max<std::int64_t>(0, loads_at_once - loading_);
     return std::move(input_);
   }
@@ -85,7 +86,7 @@
     return index;
   }
 
-  // A unit that is there but not declared may be an old version of one that is.
+  // A unit that is loaded but not declared may be an old version of a declared one.
   PlanIndex IndexOf(const std::string& unit, std::uint64_t memory) {
     const auto known = units_.find(unit);
     if (known != units_.end()) {
@@ -110,14 +111,14 @@
                         const std::map<UnitKey, Reservation>& reservations,
                         const std::set<std::string>& full,
                         std::int64_t loads_at_once) {
-  InputMaker maker;
-  maker.AddWanted(view.wanted);
-  maker.AddEndpoints(view.endpoints);
+  PlanInputBuilder builder;
+  builder.AddWanted(view.wanted);
+  builder.AddEndpoints(view.endpoints);
   for (const auto& [key, reservation] : reservations) {
-    maker.AddReservation(key, reservation);
+    builder.AddReservation(key, reservation);
   }
-  maker.Raise(view.endpoints, full);
-  return maker.Finish(loads_at_once);
+  builder.ApplyReportedUsage(view.endpoints, full);
+  return builder.Build(loads_at_once);
 }
 
 }  // namespace rudderloom
