--- a/include/rudderloom/dissemination/configuration_log.hpp
+++ b/include/rudderloom/dissemination/configuration_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The configuration in force, with what changed since earlier versions of it.
+/// The current configuration and a log of the changes between its recent versions.
 #ifndef RUDDERLOOM_DISSEMINATION_CONFIGURATION_LOG_HPP
 #define RUDDERLOOM_DISSEMINATION_CONFIGURATION_LOG_HPP
 
@@ -11,50 +11,50 @@
 
 namespace rudderloom {
 
-/// @brief What leads from one configuration to a newer one.
+/// @brief Changes that turn one configuration version into a newer one.
 /// @ingroup dissemination
 struct ConfigurationChanges {
-  std::uint64_t version = 0;  ///< Of the newer one; 0: nothing is told.
-  std::uint64_t since = 0;    ///< Of the one that they are applied to; 0: to any, they are whole.
+  std::uint64_t version = 0;  ///< Of the newer configuration; 0 means no content.
+  std::uint64_t since = 0;    ///< Base version; 0 means a complete configuration.
   Changes<Route> routes;
   Changes<ServiceSpec> services;
   Changes<Customer> customers;
-  bool need_keys = false;  ///< On every route that isn't public.
+  bool need_keys = false;  ///< Routes that aren't public require an API key.
   ClientLimits limits;
 };
 
-/// @brief Keeps the newest configuration; an older one never replaces it. Pure.
+/// @brief Keeps the newest configuration; an older one never replaces it. Does no I/O.
 ///
-/// A configuration of thousands of routes changes by a few of them at a time. Nodes hand on only
-/// these: 1.3 KB for ten routes of 2,000, where the whole is 249 KB (fleet_codec_test), which a
-/// link of 20 Mbit/s takes 1.6 s to carry to 16 nodes.
+/// A configuration of thousands of routes changes by a few of them at a time. Nodes forward only
+/// the changes: 1.3 KB for ten routes of 2,000, while the complete configuration is 249 KB
+/// (fleet_codec_test) and takes 1.6 s to send to 16 nodes over a 20 Mbit/s link.
 /// @ingroup dissemination
 class ConfigurationLog {
  public:
-  /// @brief Takes a whole configuration; true when it is newer than the one in force.
+  /// @brief Installs a complete configuration; returns true if it is newer than the current one.
   bool Offer(RouteTablePtr table);
 
-  /// @brief Takes what a peer told; true when that gave a newer configuration. False also when the
-  /// changes go on from another one than that in force.
+  /// @brief Applies changes received from a peer; returns true if that gave a newer configuration.
+  /// Returns false as well if the changes have a base other than the current version.
   bool Apply(const ConfigurationChanges& changes);
 
-  /// @brief What a node lacks that has configuration `seen` in force; 0 for none.
+  /// @brief Returns the changes that a node at version `seen` lacks; 0 means that it has none.
   ConfigurationChanges Since(std::uint64_t seen) const;
 
-  /// @brief The configuration in force; null before the first.
+  /// @brief Returns the current configuration; null before the first one.
   const RouteTablePtr& Current() const { return current_; }
 
-  /// @brief Version of the configuration in force; 0 before the first.
+  /// @brief Returns the version of the current configuration; 0 before the first one.
   std::uint64_t Version() const { return current_ ? current_->Version() : 0; }
 
  private:
-  void Remember(std::uint64_t version);
+  void RecordVersion(std::uint64_t version);
 
   RouteTablePtr current_;
   ChangeLog<Route> routes_;
   ChangeLog<ServiceSpec> services_;
   ChangeLog<Customer> customers_;
-  std::deque<std::uint64_t> versions_;  // that were in force here, newest last
+  std::deque<std::uint64_t> recent_versions_;  // installed on this node, newest last
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/dissemination/digest.hpp
+++ b/include/rudderloom/dissemination/digest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a node hears in answer to its counts: the holder's word, from itself or through a relay.
+/// The answer to a node's load report: the lease holder's digest, sent directly or by a relay.
 #ifndef RUDDERLOOM_DISSEMINATION_DIGEST_HPP
 #define RUDDERLOOM_DISSEMINATION_DIGEST_HPP
 
@@ -18,60 +18,61 @@
 
 namespace rudderloom {
 
-/// @brief A word that is older is neither handed on nor heeded. A takeover of the lease takes about
-/// 2 s, in which relays have no newer one and are as good as the holder; after that they have lost
-/// touch with a holder that may be well.
+/// @brief Older digests are neither forwarded nor used. A takeover of the lease takes about 2 s,
+/// during which relays have no newer digest and are as reliable as the holder. After that they have
+/// lost contact with a holder that may still be running.
 /// @ingroup dissemination
 constexpr Duration kOldestWord{3'000};
 
-/// @brief The holder's word, as one node hears it.
+/// @brief The lease holder's digest of the fleet state, as sent to one node.
 /// @ingroup dissemination
 struct HolderDigest {
-  /// @brief False: the node that was asked neither holds the lease nor has a word of its holder to
-  /// hand on. Then only `holder` and `epoch` are told, as that node last knew them, and
-  /// `crash_news`.
+  /// @brief False if the answering node neither holds the lease nor has a digest of the holder to
+  /// forward. Then only `crash_news` is set, and `holder` and `epoch` as last known to that node.
   bool holds = false;
   std::uint64_t epoch = 0;  ///< Of the lease.
   std::string holder;       ///< Address of its holder.
-  Duration age{0};          ///< Since the holder made its word.
-  std::uint32_t nodes = 1;  ///< Entry nodes whose counts are fresh, with the holder.
-  LoadTable loads;          ///< Of all nodes but the one that asked and those it stands for.
-  std::string relay;        ///< Address to report to from now on; empty: to whoever answered.
-  bool is_relay = false;    ///< The asking node is to hand the word on to nodes that ask it.
-  Duration relay_pause{0};  ///< Between two reports of a relay, as the holder's processor bears it.
-  bool standby = false;     ///< The asking node is one of the first that take over.
-  std::vector<std::string> standby_addresses;  ///< Of all of these.
-  bool renewals_fail = false;                  ///< The holder can't renew its lease at present.
+  Duration age{0};          ///< Since the holder created the digest.
+  std::uint32_t nodes = 1;  ///< Nodes with fresh load reports, including the holder.
+  LoadTable loads;          ///< Of all nodes except the asking node and its members.
+  std::string relay;        ///< Address to report to from now on; empty: the answering node.
+  bool is_relay = false;    ///< The asking node forwards the digest to nodes that ask it.
+  Duration relay_pause{0};  ///< Between two reports of a relay; set by the holder's CPU load.
+  bool standby = false;     ///< The asking node is among the first to take over.
+  std::vector<std::string> standby_addresses;  ///< Of all standbys.
+  bool renewals_fail = false;                  ///< The holder currently can't renew its lease.
   std::uint64_t routes_version = 0;            ///< Of the holder's configuration; 0 for none.
-  ServingChanges serving;                      ///< That the asking node lacks.
-  EndpointChanges endpoints;                   ///< That the asking node lacks.
-  bool tells_era = true;  ///< False: told by a node of an earlier version, which knows of no eras.
-  /// @brief Since the store confirmed the list of endpoints.
+  ServingChanges serving;                      ///< Changes that the asking node lacks.
+  EndpointChanges endpoints;                   ///< Changes that the asking node lacks.
+  bool tells_era = true;  ///< False if sent by an earlier software version without eras.
+  /// @brief Time since the store confirmed the list of endpoints.
   std::optional<Duration> endpoints_age;
-  /// @brief The configuration is handed on; false in a small fleet, whose nodes ask the store.
+  /// @brief The digest carries the configuration; false in a small fleet, whose nodes read the
+  /// store.
   bool tells_configuration = false;
-  ConfigurationChanges configuration;  ///< That the asking node lacks.
-  /// @brief Since the store confirmed the configuration.
+  ConfigurationChanges configuration;  ///< Changes that the asking node lacks.
+  /// @brief Time since the store confirmed the configuration.
   std::optional<Duration> configuration_age;
-  /// @brief What customers may still spend, when the holder made its word: to a node that takes the
-  /// lease over first all of them, to others those that its report names.
+  /// @brief Remaining customer balances when the holder created the digest. Standbys receive all of
+  /// them, other nodes those of the customers that their report names.
   BalanceTable balances;
-  std::uint64_t report_counted = 0;  ///< The asking node's last report that these take in.
-  /// @brief Requests that end the endpoints that run them; empty: as the asking node knows them.
+  std::uint64_t report_counted = 0;  ///< The asking node's last report included in `balances`.
+  /// @brief Requests that crash the endpoints that run them; empty if unchanged for the asking
+  /// node.
   std::optional<QuarantineTable> quarantine;
-  /// @brief What the node that answers is telling the holder, if it is another one: the holder may
-  /// be out of its reach, and out of the asking node's.
+  /// @brief Crash reports that the answering node is sending to the holder, unless it is the holder
+  /// itself: the holder may be unreachable for it and for the asking node.
   CrashNews crash_news;
-  /// @brief Limits that endpoints have announced; empty: as the asking node knows them.
+  /// @brief Limits announced by endpoints; empty if unchanged for the asking node.
   std::optional<LimitTable> limits;
-  /// @brief Remaining load times of units that the asking node's report names, counted from when
-  /// the holder made its statement.
+  /// @brief Remaining load times of the units in the asking node's report, counted from when the
+  /// holder created the digest.
   LoadsDue loads_due;
 };
 
-/// @brief Makes a digest, and what it tells, as old as it is after a time on its way.
+/// @brief Adds the transit time to the ages of a digest and its contents.
 /// @ingroup dissemination
-void MakeOlder(HolderDigest& digest, Duration on_its_way);
+void MakeOlder(HolderDigest& digest, Duration transit_time);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/dissemination/group_counts.hpp
+++ b/include/rudderloom/dissemination/group_counts.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counts of a node together with those of the nodes that report through it.
+/// Aggregated load counts of a node and of the nodes that report through it.
 #ifndef RUDDERLOOM_DISSEMINATION_GROUP_COUNTS_HPP
 #define RUDDERLOOM_DISSEMINATION_GROUP_COUNTS_HPP
 
@@ -12,32 +12,32 @@
 
 namespace rudderloom {
 
-/// @brief Adds up the counts of a group, so that the holder of the lease hears one node in place of
-/// the whole group. Pure; time is passed in.
+/// @brief Aggregates the counts of a group, so that the lease holder receives one report for the
+/// whole group. Does no I/O; time is passed in.
 /// @ingroup dissemination
 class GroupCounts {
  public:
-  /// @brief Takes this node's own newest counts.
+  /// @brief Stores this node's own latest counts.
   void CountedSelf(const NodeCounts& counts);
 
-  /// @brief Takes the newest counts of a node that reports to this one. Nodes that stand for others
-  /// don't count: they report here only while they take this node for the holder.
+  /// @brief Stores the latest counts of a node that reports to this one. Relays are ignored: they
+  /// report here only while they take this node for the holder.
   void Counted(const NodeCounts& counts, TimePoint now);
 
-  /// @brief The whole group's counts under this node's name; nothing before its own first ones.
-  /// What was offered is told once, at the next call it begins anew.
+  /// @brief Returns the group's total counts under this node's name; empty before its own first
+  /// counts. The offered load is reset by each call, so it is reported once.
   std::optional<NodeCounts> Take(TimePoint now);
 
-  /// @brief Loads that the whole group puts on endpoints, and each node of it.
+  /// @brief Returns the loads that the group and each of its nodes put on endpoints.
   LoadSums Sums(TimePoint now) const;
 
-  /// @brief True when other nodes report to this one.
+  /// @brief Returns true if other nodes report to this one.
   bool HasMembers(TimePoint now) const;
 
-  /// @brief True once this node's own counts are known.
+  /// @brief Returns true once this node's own counts are known.
   bool Known() const { return own_.has_value(); }
 
-  /// @brief True when requests have come at a member that wait for something to be loaded.
+  /// @brief Returns true if a member has reported requests that wait for a load since `Take`.
   bool Waiting() const { return waiting_; }
 
  private:
@@ -52,7 +52,7 @@
   std::optional<NodeCounts> own_;
   std::map<std::string, Member> members_;
   std::map<UnitName, Duration> offered_;  // since the last call of `Take`
-  bool waiting_ = false;                  // the same
+  bool waiting_ = false;                  // since the last call of `Take`
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/dissemination/roster.hpp
+++ b/include/rudderloom/dissemination/roster.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which nodes hand the holder's word on, and which take the lease over first.
+/// Assignment of the relays that forward digests and of the standbys for the lease.
 #ifndef RUDDERLOOM_DISSEMINATION_ROSTER_HPP
 #define RUDDERLOOM_DISSEMINATION_ROSTER_HPP
 
@@ -13,34 +13,34 @@
 
 namespace rudderloom {
 
-/// @brief Chosen by the holder of the lease from the nodes that report to it. Pure.
+/// @brief Relays and standbys that the lease holder selects among the reporting nodes. Does no I/O.
 ///
-/// What the holder does grows with the nodes that it hears and answers. In a fleet of more than a
-/// group and a half it therefore hears only some: in each availability zone a relay for each group,
-/// those with the most processor time first. All other nodes report to a relay of their zone. With
-/// groups of 16 the holder of 295 nodes answers some 20 relays, and each relay 16 nodes.
+/// The holder's work grows with the number of nodes that report to it. In a fleet larger than one
+/// and a half groups, only relays report to it: one per group in each availability zone, selected
+/// by most CPU time. All other nodes report to a relay of their zone. With groups of 16, the holder
+/// of 295 nodes answers some 20 relays, and each relay 16 nodes.
 /// @ingroup dissemination
 class Roster {
  public:
-  /// @param group_size Nodes that one relay is to stand for, itself included.
+  /// @param group_size Number of nodes per relay, including the relay itself.
   explicit Roster(std::uint32_t group_size) : group_size_(group_size) {}
 
-  /// @brief Chooses anew from the nodes whose counts are fresh, the holder itself left out.
+  /// @brief Reselects among `nodes`: those with fresh reports, without the holder itself.
   void Update(std::vector<ReportingNode> nodes);
 
   bool HasRelays() const { return !relays_by_zone_.empty(); }
 
-  /// @brief True when the node of this name is to hand the word on.
+  /// @brief Returns true if the named node is a relay.
   bool IsRelay(const std::string& node) const { return relay_names_.contains(node); }
 
-  /// @brief True when the node of this name is one of the first that take the lease over.
+  /// @brief Returns true if the named node is a standby.
   bool IsStandby(const std::string& node) const { return standby_names_.contains(node); }
 
-  /// @brief Addresses of the nodes that take the lease over first.
+  /// @brief Returns the addresses of the standbys.
   const std::vector<std::string>& StandbyAddresses() const { return standby_addresses_; }
 
-  /// @brief Address of the relay that the node is to report to; empty: to the holder. Relays that
-  /// did not answer the node are left out.
+  /// @brief Returns the address of the relay that the node must report to; empty means the holder.
+  /// Relays that failed to answer the node are skipped.
   std::string RelayFor(const NodeCounts& asking) const;
 
  private:
@@ -54,7 +54,8 @@
   std::vector<std::string> standby_addresses_;
 };
 
-/// @brief Most nodes that one relay answers: more than its share while another one is missing.
+/// @brief Returns the maximum number of nodes that one relay answers: more than its group, so that
+/// it can take over members of a failed relay.
 /// @ingroup dissemination
 std::uint32_t MostMembers(std::uint32_t group_size);
 
--- a/include/rudderloom/dissemination/source_choice.hpp
+++ b/include/rudderloom/dissemination/source_choice.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Where a node learns something that the store keeps: from the store, or from another node.
+/// Selects the source of stored objects: the store itself, or another node's digests.
 #ifndef RUDDERLOOM_DISSEMINATION_SOURCE_CHOICE_HPP
 #define RUDDERLOOM_DISSEMINATION_SOURCE_CHOICE_HPP
 
@@ -10,78 +10,81 @@
 
 namespace rudderloom {
 
-/// @brief How a node follows one kind of the store's objects.
+/// @brief How a node keeps up with one kind of stored objects.
 /// @ingroup dissemination
 enum class Following {
-  kStore,      ///< By a watch of its own.
-  kStoreOnce,  ///< By one list; then the store is not called until that changes.
-  kForOthers,  ///< By a watch of its own whose answers come often: other nodes rely on them.
-  kHolder,     ///< By what the holder's word tells; the store is not called.
+  kStore,      ///< By its own watch on the store.
+  kStoreOnce,  ///< By a single list request; no further store calls until the mode changes.
+  kForOthers,  ///< By its own watch with frequent answers, since other nodes rely on them.
+  kHolder,     ///< By the holder's digests; the store is not called.
 };
 
-/// @brief The word for logs.
+/// @brief Returns the name used in logs.
 /// @ingroup dissemination
 std::string_view NameOf(Following following);
 
-/// @brief What a node does for others.
+/// @brief Role of a node in the distribution of digests.
 /// @ingroup dissemination
 enum class NodeDuty {
   kNone,
-  kRelay,    ///< Hands the holder's word on.
-  kStandby,  ///< The same, and relays without a word ask it.
-  kHolder,   ///< Holds the lease, and tells what it knows.
+  kRelay,    ///< Forwards the holder's digests.
+  kStandby,  ///< Forwards them too, and answers relays that have no fresh digest.
+  kHolder,   ///< Holds the lease and creates the digests.
 };
 
-/// @brief Whether all processes begin together, before there are clients.
+/// @brief Whether a node starts along with the whole system, before there are clients.
 /// @ingroup dissemination
 enum class StartKind {
-  kFirst,    ///< Of the whole system: nobody waits yet.
+  kFirst,    ///< First start of the whole system: no clients wait yet.
   kRestart,  ///< Clients may be waiting.
 };
 
-/// @brief Decides where from. Pure; time is passed in.
+/// @brief Decides between the store and the digests. Does no I/O; time is passed in.
 ///
-/// Each call to the store has its price, so one node calls for all. The others rely on its word
-/// only while they hear it, and only while what it tells was confirmed by the store a short while
-/// ago: a holder that is cut off, frozen or slow is as good as none. Standbys stop relying on it
-/// first and ask the store; relays ask them, and only if that does not help the store, before the
-/// nodes that hear them would have to. So a fleet whose holder is lost calls the store as often as
-/// its few standbys do, however large it is.
+/// Store calls are costly, so one node makes them for all. The others rely on its digests only
+/// while they arrive and while the store has confirmed their contents recently: a holder that is
+/// cut off, frozen or slow counts as lost. Standbys are the first to stop relying on it and call
+/// the store. Relays then ask the standbys, and call the store only if that fails, before their
+/// members would have to. A fleet without a holder thus calls the store only as often as its few
+/// standbys do, regardless of its size.
 /// @ingroup dissemination
 class SourceChoice {
  public:
-  /// @param oldest How old the word may be before a node asks the store itself.
-  /// @param start Begun with a list of its own on a restart, with waiting for a word otherwise.
-  /// @param spread From 0 to 1, another one at each node: they don't all stop waiting at once.
-  SourceChoice(Duration oldest, StartKind start, double spread);
-
-  /// @brief The store has just confirmed what this node knows.
+  /// @param max_age Maximum age of the digest contents before a node calls the store itself.
+  /// @param start On a restart the node begins with its own list request, otherwise it waits for a
+  /// digest.
+  /// @param spread From 0 to 1, different on each node, so that they don't all stop waiting at
+  /// once.
+  SourceChoice(Duration max_age, StartKind start, double spread);
+
+  /// @brief Records that the store has just confirmed this node's data.
   void Confirmed(TimePoint now) { confirmed_at_ = now; }
 
-  /// @brief When the store last confirmed it, to this node or to the one that told it; nothing
-  /// before the first time.
+  /// @brief Returns when the store last confirmed the data, to this node or to the creator of the
+  /// digest; empty before the first confirmation.
   std::optional<TimePoint> ConfirmedAt() const;
 
-  /// @brief A word came; `age` is how long ago the store confirmed what it tells.
+  /// @brief Records a received digest; `age` is the time since the store confirmed its contents.
   void Heard(Duration age, TimePoint now);
 
-  /// @brief Words don't tell this in a fleet of this size: the store must be asked.
+  /// @brief Records that digests don't carry this data in a fleet of this size: only the store
+  /// does.
   void NotTold();
 
-  /// @brief How to follow from now on.
+  /// @brief Returns the mode to use from now on.
   Following Choose(NodeDuty duty, TimePoint now);
 
  private:
-  bool WordIsFresh(Duration oldest, TimePoint now) const;
-  bool Waits(TimePoint now);
+  bool DigestIsFresh(Duration max_age, TimePoint now) const;
+  bool WaitsForFirstDigest(TimePoint now);
 
-  Duration oldest_;
+  Duration max_age_;
   StartKind start_;
-  Duration wait_at_start_;
+  Duration initial_wait_;
   std::optional<TimePoint> started_at_;
-  bool may_wait_ = true;  // for the first word
+  bool may_wait_ = true;  // for the first digest
   std::optional<TimePoint> confirmed_at_;
-  std::optional<TimePoint> word_confirmed_at_;
+  std::optional<TimePoint> digest_confirmed_at_;
   std::optional<TimePoint> fresh_since_;
 };
 
--- a/include/rudderloom/dissemination/statement.hpp
+++ b/include/rudderloom/dissemination/statement.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a holder of the lease, or a relay, answers other nodes, before it knows which one asks.
+/// The state from which a lease holder or a relay builds its digests for other nodes.
 #ifndef RUDDERLOOM_DISSEMINATION_STATEMENT_HPP
 #define RUDDERLOOM_DISSEMINATION_STATEMENT_HPP
 
@@ -16,28 +16,28 @@
 
 namespace rudderloom {
 
-/// @brief From what other nodes are answered. Immutable once published.
+/// @brief Source data of the digests for all nodes. Immutable once published.
 /// @ingroup dissemination
 struct Statement {
-  HolderDigest common;                           ///< Without what depends on the node that asks.
-  TimePoint made_at;                             ///< By the holder.
-  LoadSums loads;                                ///< For those of all nodes but the one that asks.
-  std::shared_ptr<const ServingLog> serving;     ///< Null: not told.
-  std::shared_ptr<const EndpointLog> endpoints;  ///< Null: not told.
-  std::shared_ptr<const ConfigurationLog> configuration;  ///< Null: not told.
+  HolderDigest common;  ///< Without the parts that depend on the asking node.
+  TimePoint made_at;    ///< When the holder created it.
+  LoadSums loads;       ///< To compute loads without those of the asking node.
+  std::shared_ptr<const ServingLog> serving;              ///< Null: omitted from digests.
+  std::shared_ptr<const EndpointLog> endpoints;           ///< Null: omitted from digests.
+  std::shared_ptr<const ConfigurationLog> configuration;  ///< Null: omitted from digests.
   std::optional<TimePoint> endpoints_confirmed_at;        ///< By the store.
   std::optional<TimePoint> configuration_confirmed_at;    ///< By the store.
-  std::map<std::string, std::uint64_t> reports_counted;   ///< By node: see `SpendingLog`.
-  std::shared_ptr<const GrantBasis> grants;               ///< Null: this node can't say.
-  std::shared_ptr<const QuarantineTable> quarantine;      ///< Null: there is none.
+  std::map<std::string, std::uint64_t> reports_counted;   ///< By node, see `SpendingLog`.
+  std::shared_ptr<const GrantBasis> grants;               ///< Null: unknown to this node.
+  std::shared_ptr<const QuarantineTable> quarantine;      ///< Null: no requests are quarantined.
   LimitTable limits;
-  std::optional<PermitBasis> permits;    ///< Empty: this node hands out none.
+  std::optional<PermitBasis> permits;    ///< Empty: this node grants no permits.
   std::shared_ptr<const Roster> roster;  ///< Null at a relay.
-  /// @brief Most nodes that are answered with more than a refusal; empty: any number.
+  /// @brief Maximum number of nodes that are answered; others are refused. Empty: unlimited.
   std::optional<std::uint32_t> most_members;
 };
 
-/// @brief The digest for the node that sent these counts.
+/// @brief Builds the digest for the node that sent the counts `asking`.
 /// @ingroup dissemination
 HolderDigest DigestFor(const Statement& statement, const NodeCounts& asking, TimePoint now);
 
--- a/include/rudderloom/dissemination/upstream.hpp
+++ b/include/rudderloom/dissemination/upstream.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whom a node tells its counts and hears the holder's word from.
+/// Selects the node to which load reports are sent and from which digests are received.
 #ifndef RUDDERLOOM_DISSEMINATION_UPSTREAM_HPP
 #define RUDDERLOOM_DISSEMINATION_UPSTREAM_HPP
 
@@ -13,56 +13,57 @@
 
 namespace rudderloom {
 
-/// @brief Decides whom to report to: the holder, the relay that the holder has named, or, when
-/// neither has a word, one of the standbys by turns. Pure; time is passed in.
+/// @brief Selects the node to report to: the holder, the relay that the holder has assigned, or, if
+/// neither has a digest, the standbys in rotation. Does no I/O; time is passed in.
 ///
-/// All of this is learned from answers: the store is asked for the holder only at the start and,
-/// seldom, in case all others are gone.
+/// All of this is learned from the answers. The store is asked for the holder only at the start and
+/// at long intervals, in case all other known nodes are gone.
 /// @ingroup dissemination
 class Upstream {
  public:
-  /// @param self Address where this node hears others.
+  /// @param self Address on which this node listens for its peers.
   explicit Upstream(std::string self) : self_(std::move(self)) {}
 
-  /// @brief The lease's object names this holder.
+  /// @brief Records the holder named in the lease object of the store.
   void HolderSeen(const std::string& address, std::uint64_t epoch);
 
-  /// @brief The node at `from` answered a report; true when its word counts: it is the holder's
-  /// own, or that of this node's relay. A standby that relays for others has no newer word.
+  /// @brief Handles the answer of the node at `from` to a report. Returns true if the digest is
+  /// valid: sent by the holder itself or by this node's relay. A standby that is a relay for others
+  /// has no newer digest.
   bool Answered(const std::string& from, const HolderDigest& digest, TimePoint now);
 
-  /// @brief The node at `from` did not answer a report.
+  /// @brief Handles a report that the node at `from` did not answer.
   void Failed(const std::string& from, TimePoint now);
 
-  /// @brief Whom to report to; empty: nobody is known, or this node is the holder.
+  /// @brief Returns the address to report to; empty if none is known or this node is the holder.
   std::string Address() const;
 
-  /// @brief Address of the holder, as far as this node knows; empty before it has heard of one.
+  /// @brief Returns the last known address of the holder; empty before the first.
   const std::string& Holder() const { return holder_; }
 
-  /// @brief Under which the holder is known to hold the lease.
+  /// @brief Returns the last known epoch of the lease.
   std::uint64_t Epoch() const { return epoch_; }
 
-  /// @brief Address of the relay that this node reports to; empty for none.
+  /// @brief Returns the address of the relay that this node reports to; empty for none.
   const std::string& Relay() const { return relay_; }
 
-  /// @brief Relays that lately gave no answer, or none of use.
+  /// @brief Returns the relays that recently gave no answer or no valid digest.
   std::vector<std::string> AvoidedRelays(TimePoint now);
 
  private:
-  void TakeHolder(const std::string& address, std::uint64_t epoch);
-  void TakeWord(const std::string& from, const HolderDigest& digest);
-  void LeaveRelay(TimePoint now);
-  void TryNext();
+  void UpdateHolder(const std::string& address, std::uint64_t epoch);
+  void UseDigest(const std::string& from, const HolderDigest& digest);
+  void DropRelay(TimePoint now);
+  void TryNextCandidate();
 
   std::string self_;
   std::string holder_;
-  std::uint64_t epoch_ = 0;  // that the holder is known to hold the lease under
+  std::uint64_t epoch_ = 0;  // last known epoch of the lease
   std::string relay_;        // empty: none
-  std::string tried_;        // a standby asked in place of the holder; empty: none
+  std::string candidate_;    // standby asked in place of the holder; empty: none
   std::vector<std::string> standbys_;
-  std::size_t next_standby_ = 0;
-  std::map<std::string, TimePoint> avoided_;  // until when
+  std::size_t next_turn_ = 0;
+  std::map<std::string, TimePoint> avoided_until_;  // by address, until this time
 };
 
 }  // namespace rudderloom
--- a/src/rudderloom/dissemination/configuration_log.cpp
+++ b/src/rudderloom/dissemination/configuration_log.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// Nodes that are in touch are a few versions behind at most; all others get the whole.
-constexpr std::size_t kVersionsKept = 64;
+// Connected nodes lag by a few versions at most; all others get the complete configuration.
+constexpr std::size_t kMaxRecentVersions = 64;
 
-// A configuration has one route for a host and prefix; prefixes begin with a slash, hosts hold
-// none.
+// Host and prefix identify a route. The concatenation is unambiguous: prefixes begin with a slash
+// and hosts contain none.
 std::map<std::string, Route> RoutesByKey(const RouteTable& table) {
   std::map<std::string, Route> routes;
   for (const Route& route : table.Routes()) {
@@ -49,7 +49,7 @@
     customers_.Replace(CustomersByName(*table), version);
   }
   current_ = std::move(table);
-  Remember(version);
+  RecordVersion(version);
   return true;
 }
 
@@ -66,7 +66,7 @@
   current_ = std::make_shared<const RouteTable>(changes.version, routes_.Values(),
                                                 services_.Values(), changes.limits,
                                                 Callers{changes.need_keys, customers_.Values()});
-  Remember(changes.version);
+  RecordVersion(changes.version);
   return true;
 }
 
@@ -75,9 +75,10 @@
   if (!current_ || seen >= Version()) {
     return changes;
   }
-  // A version that was never in force here may hold routes that this log has not heard of, so
-  // nothing would tell the other node to drop them.
-  const bool known = std::find(versions_.begin(), versions_.end(), seen) != versions_.end();
+  // A version that was never installed on this node may contain routes that are unknown to this
+  // log; the changes would not remove them from the other node.
+  const bool known =
+      std::find(recent_versions_.begin(), recent_versions_.end(), seen) != recent_versions_.end();
   const std::uint64_t from = known ? seen : 0;
   changes.version = Version();
   changes.routes = routes_.Since(from);
@@ -90,10 +91,10 @@
   return changes;
 }
 
-void ConfigurationLog::Remember(std::uint64_t version) {
-  versions_.push_back(version);
-  if (versions_.size() > kVersionsKept) {
-    versions_.pop_front();
+void ConfigurationLog::RecordVersion(std::uint64_t version) {
+  recent_versions_.push_back(version);
+  if (recent_versions_.size() > kMaxRecentVersions) {
+    recent_versions_.pop_front();
   }
 }
 
--- a/src/rudderloom/dissemination/configuration_log_test.cpp
+++ b/src/rudderloom/dissemination/configuration_log_test.cpp
@@ -22,21 +22,21 @@
                                             std::vector<ServiceSpec>{desk}, ClientLimits{});
 }
 
-RouteTablePtr Empty(std::uint64_t version) {
+RouteTablePtr EmptyTable(std::uint64_t version) {
   return MakeTable(version, {});
 }
 
 TEST_CASE("an older configuration never replaces a newer one") {
   ConfigurationLog log;
-  CHECK(log.Offer(Empty(5)));
-  CHECK_FALSE(log.Offer(Empty(3)));
-  CHECK_FALSE(log.Offer(Empty(5)));
+  CHECK(log.Offer(EmptyTable(5)));
+  CHECK_FALSE(log.Offer(EmptyTable(3)));
+  CHECK_FALSE(log.Offer(EmptyTable(5)));
   CHECK_FALSE(log.Offer(nullptr));
-  CHECK(log.Offer(Empty(9)));
+  CHECK(log.Offer(EmptyTable(9)));
   CHECK(log.Current()->Version() == 9);
 }
 
-TEST_CASE("a node that has an earlier version is told only what changed") {
+TEST_CASE("a node with an earlier version receives only the changes") {
   ConfigurationLog log;
   std::vector<Route> routes;
   routes.reserve(1'000);
@@ -57,7 +57,7 @@
   CHECK(log.Since(8).version == 0);
 }
 
-TEST_CASE("a node that knows nothing, or a version that was never in force here, is told all") {
+TEST_CASE("a node with no version or an unknown version receives the complete configuration") {
   ConfigurationLog log;
   log.Offer(MakeTable(3, {MakeRoute("/a/", "desk")}));
   log.Offer(MakeTable(8, {MakeRoute("/b/", "desk")}));
@@ -70,20 +70,20 @@
   }
 }
 
-TEST_CASE("changes that go on from another version are not taken") {
+TEST_CASE("changes with a different base version are rejected") {
   ConfigurationLog holder;
   holder.Offer(MakeTable(3, {MakeRoute("/a/", "desk")}));
   holder.Offer(MakeTable(8, {MakeRoute("/a/", "desk"), MakeRoute("/b/", "desk")}));
   ConfigurationLog node;
-  node.Offer(Empty(4));
+  node.Offer(EmptyTable(4));
   CHECK_FALSE(node.Apply(holder.Since(3)));
   CHECK(node.Version() == 4);
   CHECK(node.Apply(holder.Since(node.Version())));
   CHECK(node.Current()->Find("a.example", "/b/x") != nullptr);
 }
 
-// The same routes and services, whatever their order.
-bool Same(const RouteTable& left, const RouteTable& right) {
+// True if both have the same routes and services, in any order.
+bool SameContent(const RouteTable& left, const RouteTable& right) {
   if (left.Routes().size() != right.Routes().size() || left.Services() != right.Services()) {
     return false;
   }
@@ -96,8 +96,8 @@
   return true;
 }
 
-// Changes, adds and removes some routes.
-void Vary(std::vector<Route>& routes, std::mt19937& random) {
+// Randomly changes, adds and removes routes.
+void MutateRoutes(std::vector<Route>& routes, std::mt19937& random) {
   for (Route& route : routes) {
     if (random() % 8 == 0) {
       route.timeout = Duration(random() % 9'000);
@@ -111,7 +111,7 @@
   }
 }
 
-TEST_CASE("whoever hears it over two steps, with versions left out, has the same configuration") {
+TEST_CASE("a node two hops away that skips versions ends up with the same configuration") {
   for (unsigned seed = 0; seed < 40; ++seed) {
     std::mt19937 random(seed);
     std::vector<Route> routes{MakeRoute("/a/", "desk"), MakeRoute("/b/", "pool")};
@@ -120,9 +120,9 @@
     ConfigurationLog relay;
     ConfigurationLog member;
     for (std::uint64_t version = 1; version < 150; ++version) {
-      Vary(routes, random);
+      MutateRoutes(routes, random);
       tables.push_back(MakeTable(version, routes));
-      // Each of them now and then reads the store by itself, too.
+      // Each node also reads the store directly from time to time.
       for (ConfigurationLog* log : {&holder, &relay, &member}) {
         if (random() % (log == &holder ? 2 : 20) == 0) {
           log->Offer(tables.back());
@@ -136,7 +136,7 @@
       }
       for (const ConfigurationLog* log : {&holder, &relay, &member}) {
         if (log->Version() != 0) {
-          REQUIRE(Same(*log->Current(), *tables[log->Version()]));
+          REQUIRE(SameContent(*log->Current(), *tables[log->Version()]));
         }
       }
     }
--- a/src/rudderloom/dissemination/group_counts_test.cpp
+++ b/src/rudderloom/dissemination/group_counts_test.cpp
@@ -20,7 +20,7 @@
   return counts;
 }
 
-TEST_CASE("a group's counts are the sums of its nodes' under the name of the one that tells them") {
+TEST_CASE("a group's counts are the sums of its members' counts under the reporting node's name") {
   GroupCounts group;
   CHECK_FALSE(group.Take(At(0)));
   group.CountedSelf(CountsOf("n1", 1, 10));
@@ -34,7 +34,7 @@
   CHECK(sum->units.at(kModel) == UnitCount{7, 0, Duration(70)});
 }
 
-TEST_CASE("what was offered is told once, however often either side reports") {
+TEST_CASE("the offered load is reported once, regardless of how often either side reports") {
   GroupCounts group;
   group.CountedSelf(CountsOf("n1", 1, 10));
   group.Counted(CountsOf("n2", 1, 20), At(0));
@@ -45,7 +45,7 @@
   CHECK(group.Take(At(130))->units.at(kModel) == UnitCount{2, 0, Duration(5)});
 }
 
-TEST_CASE("a node that reports no more does not count, and what it was offered still does") {
+TEST_CASE("a node that stops reporting is dropped, but its offered load is kept") {
   GroupCounts group;
   group.CountedSelf(CountsOf("n1", 1, 0));
   group.Counted(CountsOf("n2", 5, 20), At(0));
@@ -56,7 +56,7 @@
   CHECK(sum->units.at(kModel) == UnitCount{1, 0, Duration(20)});
 }
 
-TEST_CASE("a node that stands for others, as it took this one for the holder, is not counted") {
+TEST_CASE("a relay that mistakes this node for the holder is not counted") {
   GroupCounts group;
   group.CountedSelf(CountsOf("n1", 1, 0));
   NodeCounts relay = CountsOf("n2", 50, 0);
@@ -66,7 +66,7 @@
   CHECK(group.Take(At(10))->loads.at(kEndpoint).requests == 1);
 }
 
-TEST_CASE("requests that wait at a member are to be told at once, and once") {
+TEST_CASE("waiting requests of a member are signalled immediately and only once") {
   GroupCounts group;
   group.CountedSelf(CountsOf("n1", 1, 0));
   NodeCounts waiting = CountsOf("n2", 0, 0);
--- a/src/rudderloom/dissemination/roster.cpp
+++ b/src/rudderloom/dissemination/roster.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-// Enough that some of them reach the store when it turns a third of the nodes away.
-constexpr std::size_t kStandbys = 4;
+// Enough for some of them to reach the store when it rejects a third of the nodes.
+constexpr std::size_t kStandbyCount = 4;
 
 bool Contains(const std::vector<std::string>& names, const std::string& name) {
   return std::find(names.begin(), names.end(), name) != names.end();
 }
 
-// Each node prefers the relays of its zone in an order of its own, so that groups come out even and
-// a relay's members spread over the others when it goes.
-std::size_t Preference(const std::string& node, const std::string& relay) {
+// Rendezvous hash of node and relay. It keeps the groups even and spreads the members of a failed
+// relay over the other relays of the zone.
+std::size_t RendezvousHash(const std::string& node, const std::string& relay) {
   return std::hash<std::string>{}(node + " " + relay);
 }
 
@@ -39,7 +39,7 @@
 void Roster::ChooseStandbys(const std::vector<ReportingNode>& nodes) {
   standby_names_.clear();
   standby_addresses_.clear();
-  for (std::size_t i = 0; i < std::min(kStandbys, nodes.size()); ++i) {
+  for (std::size_t i = 0; i < std::min(kStandbyCount, nodes.size()); ++i) {
     standby_names_.insert(nodes[i].name);
     standby_addresses_.push_back(nodes[i].address);
   }
@@ -48,19 +48,19 @@
 void Roster::ChooseRelays(const std::vector<ReportingNode>& nodes) {
   relays_by_zone_.clear();
   relay_names_.clear();
-  std::uint32_t fleet = 0;
-  std::map<std::string, std::uint32_t> by_zone;
+  std::uint32_t fleet_size = 0;
+  std::map<std::string, std::uint32_t> zone_sizes;
   for (const ReportingNode& node : nodes) {
-    fleet += node.stands_for;
-    by_zone[node.availability_zone] += node.stands_for;
+    fleet_size += node.stands_for;
+    zone_sizes[node.availability_zone] += node.stands_for;
   }
-  if (fleet <= MostMembers(group_size_)) {
+  if (fleet_size <= MostMembers(group_size_)) {
     return;
   }
   for (const ReportingNode& node : nodes) {
     std::vector<std::string>& relays = relays_by_zone_[node.availability_zone];
-    const std::uint32_t in_zone = by_zone[node.availability_zone];
-    if (relays.size() * group_size_ < in_zone) {
+    const std::uint32_t zone_size = zone_sizes[node.availability_zone];
+    if (relays.size() * group_size_ < zone_size) {
       relays.push_back(node.address);
       relay_names_.insert(node.name);
     }
@@ -68,7 +68,7 @@
 }
 
 std::string Roster::RelayFor(const NodeCounts& asking) const {
-  // A relay that has lost its place stays one for as long as others report to it.
+  // A relay that is no longer selected stays a relay while others report to it.
   if (asking.stands_for > 1 || IsRelay(asking.node)) {
     return "";
   }
@@ -79,7 +79,7 @@
   std::string best;
   for (const std::string& relay : zone->second) {
     const bool preferred =
-        best.empty() || Preference(asking.node, relay) > Preference(asking.node, best);
+        best.empty() || RendezvousHash(asking.node, relay) > RendezvousHash(asking.node, best);
     if (preferred && !Contains(asking.avoided_relays, relay)) {
       best = relay;
     }
--- a/src/rudderloom/dissemination/roster_test.cpp
+++ b/src/rudderloom/dissemination/roster_test.cpp
@@ -5,7 +5,7 @@
 namespace rudderloom {
 namespace {
 
-constexpr std::uint32_t kGroup = 16;
+constexpr std::uint32_t kGroupSize = 16;
 
 ReportingNode MakeNode(int number, int zone, double share = 0.12) {
   ReportingNode node;
@@ -16,7 +16,7 @@
   return node;
 }
 
-NodeCounts Asking(const ReportingNode& node) {
+NodeCounts CountsOf(const ReportingNode& node) {
   NodeCounts counts;
   counts.node = node.name;
   counts.availability_zone = node.availability_zone;
@@ -24,7 +24,7 @@
   return counts;
 }
 
-// Six zones of 49 nodes, three of them with half a core, as they report before anybody relays.
+// Six zones of 49 nodes, three nodes of each zone with half a core; no relays assigned yet.
 std::vector<ReportingNode> LargeFleet() {
   std::vector<ReportingNode> nodes;
   nodes.reserve(294);
@@ -40,21 +40,21 @@
   for (int i = 0; i < 24; ++i) {
     nodes.push_back(MakeNode(i, i % 3));
   }
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
   CHECK_FALSE(roster.HasRelays());
-  CHECK(roster.RelayFor(Asking(nodes[5])).empty());
+  CHECK(roster.RelayFor(CountsOf(nodes[5])).empty());
   CHECK(roster.StandbyAddresses().size() == 4);
 }
 
-TEST_CASE("in a large fleet few nodes report to the holder, those with the most processor time") {
+TEST_CASE("in a large fleet only the nodes with the most CPU time report to the holder") {
   const auto nodes = LargeFleet();
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
   int direct = 0;
   std::map<std::string, int> members;
   for (const ReportingNode& node : nodes) {
-    const std::string relay = roster.RelayFor(Asking(node));
+    const std::string relay = roster.RelayFor(CountsOf(node));
     direct += relay.empty() ? 1 : 0;
     members[relay] += 1;
     CHECK((!relay.empty() || roster.IsRelay(node.name)));
@@ -64,16 +64,16 @@
     CHECK(roster.IsRelay(nodes[static_cast<std::size_t>(i)].name));
   }
   for (const auto& [relay, count] : members) {
-    CHECK(count <= static_cast<int>(MostMembers(kGroup)));
+    CHECK(count <= static_cast<int>(MostMembers(kGroupSize)));
   }
 }
 
 TEST_CASE("a node reports to a relay of its own zone") {
   const auto nodes = LargeFleet();
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
   for (const ReportingNode& node : nodes) {
-    const std::string relay = roster.RelayFor(Asking(node));
+    const std::string relay = roster.RelayFor(CountsOf(node));
     for (const ReportingNode& other : nodes) {
       if (other.address == relay) {
         CHECK(other.availability_zone == node.availability_zone);
@@ -82,12 +82,12 @@
   }
 }
 
-TEST_CASE("a relay that gave no answer is left out, and without any the holder answers") {
+TEST_CASE("relays that failed to answer are skipped, and without any relay the holder is used") {
   const auto nodes = LargeFleet();
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
-  NodeCounts asking = Asking(nodes[200]);
-  for (int tries = 0; tries < 4; ++tries) {
+  NodeCounts asking = CountsOf(nodes[200]);
+  for (int attempt = 0; attempt < 4; ++attempt) {
     const std::string relay = roster.RelayFor(asking);
     CHECK_FALSE(relay.empty());
     asking.avoided_relays.push_back(relay);
@@ -95,54 +95,54 @@
   CHECK(roster.RelayFor(asking).empty());
 }
 
-TEST_CASE("the members of a relay that goes spread over the others of its zone") {
+TEST_CASE("the members of a failed relay spread over the other relays of its zone") {
   const auto nodes = LargeFleet();
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
-  const std::string lost = roster.RelayFor(Asking(nodes[204]));
-  std::map<std::string, int> taken;
+  const std::string lost = roster.RelayFor(CountsOf(nodes[204]));
+  std::map<std::string, int> reassigned;
   for (const ReportingNode& node : nodes) {
-    NodeCounts asking = Asking(node);
+    NodeCounts asking = CountsOf(node);
     if (roster.RelayFor(asking) == lost) {
       asking.avoided_relays = {lost};
-      taken[roster.RelayFor(asking)] += 1;
+      reassigned[roster.RelayFor(asking)] += 1;
     }
   }
-  CHECK(taken.size() >= 2);
+  CHECK(reassigned.size() >= 2);
 }
 
-TEST_CASE("relays that the holder hears only for their groups stay relays") {
-  // After a takeover: 18 relays stand for all.
+TEST_CASE("relays remain relays when they report for their groups after a takeover") {
+  // After a takeover, 18 relays report for all nodes.
   std::vector<ReportingNode> nodes;
   for (int i = 0; i < 18; ++i) {
     nodes.push_back(MakeNode(i, i % 6, 0.5));
     nodes.back().stands_for = 16;
   }
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
   for (const ReportingNode& node : nodes) {
     CHECK(roster.IsRelay(node.name));
-    CHECK(roster.RelayFor(Asking(node)).empty());
+    CHECK(roster.RelayFor(CountsOf(node)).empty());
   }
 }
 
-TEST_CASE("a relay that lost its place is not sent elsewhere while others report to it") {
+TEST_CASE("a deselected relay is not redirected while others report to it") {
   auto nodes = LargeFleet();
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
-  ReportingNode late = MakeNode(900, 2, 0.12);
-  late.stands_for = 9;
-  CHECK(roster.RelayFor(Asking(late)).empty());
+  ReportingNode deselected = MakeNode(900, 2, 0.12);
+  deselected.stands_for = 9;
+  CHECK(roster.RelayFor(CountsOf(deselected)).empty());
 }
 
-TEST_CASE("the nodes with the most processor time take over first") {
+TEST_CASE("the nodes with the most CPU time are the standbys") {
   std::vector<ReportingNode> nodes;
   nodes.reserve(10);
   for (int i = 0; i < 10; ++i) {
     nodes.push_back(MakeNode(i, 0, i < 6 ? 0.12 : 0.5));
   }
   nodes.erase(nodes.begin() + 7);  // the holder
-  Roster roster(kGroup);
+  Roster roster(kGroupSize);
   roster.Update(nodes);
   for (const char* name : {"n0", "n6", "n8", "n9"}) {
     CHECK(roster.IsStandby(name));
--- a/src/rudderloom/dissemination/source_choice.cpp
+++ b/src/rudderloom/dissemination/source_choice.cpp
@@ -6,35 +6,35 @@
 
 namespace {
 
-// The word must have been fresh for so long before a node gives up its own watch.
-constexpr Duration kTrustAfter{1'500};
-// What a word tells is some 600 ms old on its way: where it must be younger, nodes would go to and
-// fro between the word and the store.
-constexpr Duration kLeastUseful{700};
-// Parts of the oldest age at which nodes that others rely on ask the store themselves. What is left
-// is the time in which the answer reaches those others: of 1.6 s each step has more than the 0.25 s
-// between two reports and a call to the store. A word of a holder that is well is younger than
-// half.
-constexpr double kStandbyPart = 0.6;
-constexpr double kRelayPart = 0.8;
-// Part of the oldest age by which nodes that wait for a first word give up at different times.
-constexpr double kSpreadPart = 0.5;
-
-Duration PartOf(Duration whole, double part) {
-  return std::chrono::duration_cast<Duration>(whole * part);
+// Digests must have been fresh for this long before a node gives up its own watch.
+constexpr Duration kMinFreshTime{1'500};
+// Digest contents are some 600 ms old on arrival. With a lower maximum age, nodes would alternate
+// between the digests and the store.
+constexpr Duration kMinUsefulMaxAge{700};
+// Fractions of the maximum age at which nodes that others rely on call the store themselves. The
+// remainder is the time for the answer to reach those others: of 1.6 s, each step has more than the
+// 0.25 s between two reports plus a store call. The digest of a healthy holder is younger than half
+// the maximum age.
+constexpr double kStandbyAgeFraction = 0.6;
+constexpr double kRelayAgeFraction = 0.8;
+// Fraction of the maximum age over which nodes spread the end of their wait for a first digest.
+constexpr double kInitialWaitSpread = 0.5;
+
+Duration ScaleDuration(Duration duration, double factor) {
+  return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
-Duration OldestFor(NodeDuty duty, Duration oldest) {
+Duration MaxAgeFor(NodeDuty duty, Duration max_age) {
   switch (duty) {
     case NodeDuty::kStandby:
-      return PartOf(oldest, kStandbyPart);
+      return ScaleDuration(max_age, kStandbyAgeFraction);
     case NodeDuty::kRelay:
-      return PartOf(oldest, kRelayPart);
+      return ScaleDuration(max_age, kRelayAgeFraction);
     case NodeDuty::kNone:
     case NodeDuty::kHolder:
-      return oldest;
+      return max_age;
   }
-  return oldest;
+  return max_age;
 }
 
 }  // namespace
@@ -53,48 +53,48 @@
   return "unknown";
 }
 
-SourceChoice::SourceChoice(Duration oldest, StartKind start, double spread)
-    : oldest_(oldest),
+SourceChoice::SourceChoice(Duration max_age, StartKind start, double spread)
+    : max_age_(max_age),
       start_(start),
-      wait_at_start_(oldest + PartOf(oldest, spread * kSpreadPart)) {}
+      initial_wait_(max_age + ScaleDuration(max_age, spread * kInitialWaitSpread)) {}
 
 std::optional<TimePoint> SourceChoice::ConfirmedAt() const {
-  if (!confirmed_at_ || !word_confirmed_at_) {
-    return confirmed_at_ ? confirmed_at_ : word_confirmed_at_;
+  if (!confirmed_at_ || !digest_confirmed_at_) {
+    return confirmed_at_ ? confirmed_at_ : digest_confirmed_at_;
   }
-  return std::max(*confirmed_at_, *word_confirmed_at_);
+  return std::max(*confirmed_at_, *digest_confirmed_at_);
 }
 
 void SourceChoice::NotTold() {
   may_wait_ = false;
   fresh_since_.reset();
-  word_confirmed_at_.reset();
+  digest_confirmed_at_.reset();
 }
 
 void SourceChoice::Heard(Duration age, TimePoint now) {
-  if (!WordIsFresh(oldest_, now)) {
+  if (!DigestIsFresh(max_age_, now)) {
     fresh_since_.reset();
   }
-  word_confirmed_at_ = now - age;
-  if (!fresh_since_ && WordIsFresh(oldest_, now)) {
+  digest_confirmed_at_ = now - age;
+  if (!fresh_since_ && DigestIsFresh(max_age_, now)) {
     fresh_since_ = now;
   }
 }
 
-bool SourceChoice::WordIsFresh(Duration oldest, TimePoint now) const {
-  return word_confirmed_at_ && now - *word_confirmed_at_ <= oldest;
+bool SourceChoice::DigestIsFresh(Duration max_age, TimePoint now) const {
+  return digest_confirmed_at_ && now - *digest_confirmed_at_ <= max_age;
 }
 
-// From the start until the word has been fresh for long enough, or has not come in time.
-bool SourceChoice::Waits(TimePoint now) {
+// True from the start until digests have been fresh for long enough or failed to arrive in time.
+bool SourceChoice::WaitsForFirstDigest(TimePoint now) {
   started_at_ = started_at_.value_or(now);
-  const bool fresh = WordIsFresh(oldest_, now);
-  may_wait_ = may_wait_ && (fresh || now - *started_at_ < wait_at_start_);
+  const bool fresh = DigestIsFresh(max_age_, now);
+  may_wait_ = may_wait_ && (fresh || now - *started_at_ < initial_wait_);
   return may_wait_;
 }
 
 Following SourceChoice::Choose(NodeDuty duty, TimePoint now) {
-  if (oldest_ < kLeastUseful) {
+  if (max_age_ < kMinUsefulMaxAge) {
     return Following::kStore;
   }
   if (duty == NodeDuty::kHolder) {
@@ -102,14 +102,14 @@
     may_wait_ = false;
     return Following::kForOthers;
   }
-  if (!WordIsFresh(OldestFor(duty, oldest_), now)) {
+  if (!DigestIsFresh(MaxAgeFor(duty, max_age_), now)) {
     fresh_since_.reset();
   }
-  if (fresh_since_ && now - *fresh_since_ >= kTrustAfter) {
+  if (fresh_since_ && now - *fresh_since_ >= kMinFreshTime) {
     may_wait_ = false;
     return Following::kHolder;
   }
-  if (Waits(now)) {
+  if (WaitsForFirstDigest(now)) {
     return start_ == StartKind::kFirst ? Following::kHolder : Following::kStoreOnce;
   }
   return duty == NodeDuty::kNone ? Following::kStore : Following::kForOthers;
--- a/src/rudderloom/dissemination/statement.cpp
+++ b/src/rudderloom/dissemination/statement.cpp
@@ -4,30 +4,30 @@
 
 namespace {
 
-// A relay that answers enough nodes already sends further ones back to the holder. Other relays ask
-// it only while there is no holder.
+// A relay at its maximum number of members sends further nodes back to the holder. Other relays are
+// never refused: they ask only while there is no holder.
 bool Refuses(const Statement& statement, const NodeCounts& asking) {
   const auto& members = statement.loads.by_node;
   return asking.stands_for == 1 && statement.most_members &&
          members.size() >= *statement.most_members && !members.contains(asking.node);
 }
 
-// A relay with 10 Mbit/s tells 16 nodes so much in half a second, 125 bytes a route
-// (fleet_codec_test). When more has changed each node reads it from the store.
-constexpr std::size_t kMostRoutesTold = 300;
-// A model takes about a third of a route's bytes.
-constexpr std::size_t kModelsOfOneRoute = 3;
+// A relay with 10 Mbit/s sends this many routes of 125 bytes (fleet_codec_test) to 16 nodes in half
+// a second. Larger changes are read from the store by each node.
+constexpr std::size_t kMaxRoutesPerDigest = 300;
+// An encoded model takes about a third of the bytes of a route.
+constexpr std::size_t kModelsPerRoute = 3;
 
-// What the changes weigh, in routes.
-std::size_t WeightOf(const ConfigurationChanges& changes) {
+// Estimated encoded size of the changes, in routes.
+std::size_t SizeInRoutes(const ConfigurationChanges& changes) {
   std::size_t models = 0;
   for (const auto& [name, service] : changes.services.values) {
     models += service.engine ? service.engine->models.size() : 0;
   }
-  return changes.routes.values.size() + models / kModelsOfOneRoute;
+  return changes.routes.values.size() + models / kModelsPerRoute;
 }
 
-// What a node's own requests, and those of nodes that it stands for, need to know.
+// Balances of the customers with requests at the asking node or at its members.
 BalanceTable BalancesFor(const BalanceTable& all, const NodeCounts& asking) {
   BalanceTable balances;
   for (const auto& [customer, spending] : asking.spending) {
@@ -48,7 +48,7 @@
   return due;
 }
 
-// Nothing when the node knows it all, as nearly always.
+// Empty if the asking node is up to date, which is by far the most common case.
 std::optional<QuarantineTable> QuarantineFor(const Statement& statement, const NodeCounts& asking) {
   const std::uint64_t version = statement.quarantine ? statement.quarantine->version : 0;
   if (version == asking.quarantine_seen) {
@@ -62,13 +62,14 @@
                                                         : std::optional(statement.limits);
 }
 
-// A node that knows of no eras is taken for being in the present one, as it takes itself.
-StoreRevision SeenBy(const NodeCounts& asking, const EndpointLog& log) {
+// A node of a software version without eras is assumed to be in the current era, as it assumes
+// itself.
+StoreRevision SeenRevision(const NodeCounts& asking, const EndpointLog& log) {
   return asking.tells_era ? asking.endpoints_seen
                           : StoreRevision(log.Version().Era(), asking.endpoints_seen.Number());
 }
 
-HolderDigest OnlyHolder(const Statement& statement) {
+HolderDigest HolderOnlyDigest(const Statement& statement) {
   HolderDigest digest;
   digest.holder = statement.common.holder;
   digest.epoch = statement.common.epoch;
@@ -78,19 +79,19 @@
 
 }  // namespace
 
-void MakeOlder(HolderDigest& digest, Duration on_its_way) {
-  digest.age += on_its_way;
+void MakeOlder(HolderDigest& digest, Duration transit_time) {
+  digest.age += transit_time;
   if (digest.endpoints_age) {
-    *digest.endpoints_age += on_its_way;
+    *digest.endpoints_age += transit_time;
   }
   if (digest.configuration_age) {
-    *digest.configuration_age += on_its_way;
+    *digest.configuration_age += transit_time;
   }
 }
 
 HolderDigest DigestFor(const Statement& statement, const NodeCounts& asking, TimePoint now) {
   if (!statement.common.holds || Refuses(statement, asking)) {
-    return OnlyHolder(statement);
+    return HolderOnlyDigest(statement);
   }
   HolderDigest digest = statement.common;
   digest.age = Between(statement.made_at, now);
@@ -119,12 +120,12 @@
     digest.serving = statement.serving->Since(asking.serving_seen);
   }
   if (statement.endpoints && statement.endpoints_confirmed_at) {
-    digest.endpoints = statement.endpoints->Since(SeenBy(asking, *statement.endpoints));
+    digest.endpoints = statement.endpoints->Since(SeenRevision(asking, *statement.endpoints));
     digest.endpoints_age = Between(*statement.endpoints_confirmed_at, now);
   }
   if (statement.configuration && statement.configuration_confirmed_at) {
     ConfigurationChanges changes = statement.configuration->Since(asking.routes_version);
-    if (WeightOf(changes) <= kMostRoutesTold) {
+    if (SizeInRoutes(changes) <= kMaxRoutesPerDigest) {
       digest.configuration = std::move(changes);
     }
     digest.configuration_age = Between(*statement.configuration_confirmed_at, now);
--- a/src/rudderloom/dissemination/statement_test.cpp
+++ b/src/rudderloom/dissemination/statement_test.cpp
@@ -5,7 +5,7 @@
 namespace rudderloom {
 namespace {
 
-constexpr std::uint32_t kGroup = 2;
+constexpr std::uint32_t kGroupSize = 2;
 
 TimePoint At(int milliseconds) {
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
@@ -18,7 +18,7 @@
   return counts;
 }
 
-// What is told of one endpoint, seen by the store at 100.
+// A statement with one endpoint, confirmed by the store at 100 ms.
 Statement MakeStatement() {
   Statement statement;
   statement.common.holds = true;
@@ -35,45 +35,45 @@
   return statement;
 }
 
-TEST_CASE("a digest tells how old it is, and how old what it tells") {
+TEST_CASE("a digest carries its own age and that of its contents") {
   const HolderDigest digest = DigestFor(MakeStatement(), Asking("n1"), At(500));
   CHECK(digest.age == Duration(300));
   CHECK(digest.endpoints_age == Duration(400));
   CHECK(digest.endpoints.values.size() == 1);
 }
 
-TEST_CASE("a node that is sent to a relay is told no lists by the holder") {
+TEST_CASE("a node that is redirected to a relay receives no lists from the holder") {
   Statement statement = MakeStatement();
   std::vector<ReportingNode> nodes;
   for (const char* name : {"n1", "n2", "n3", "n4"}) {
     nodes.push_back({name, std::string(name) + ":1", "z", 1.0, 1});
   }
-  auto roster = std::make_shared<Roster>(kGroup);
+  auto roster = std::make_shared<Roster>(kGroupSize);
   roster->Update(nodes);
   statement.roster = roster;
-  const HolderDigest sent_on = DigestFor(statement, Asking("n4"), At(500));
-  CHECK((sent_on.relay == "n1:1" || sent_on.relay == "n2:1"));
-  CHECK(sent_on.endpoints.values.empty());
-  CHECK_FALSE(sent_on.endpoints_age);
-  const HolderDigest relays = DigestFor(statement, Asking("n1"), At(500));
-  CHECK(relays.is_relay);
-  CHECK(relays.relay.empty());
-  CHECK(relays.endpoints.values.size() == 1);
+  const HolderDigest redirected = DigestFor(statement, Asking("n4"), At(500));
+  CHECK((redirected.relay == "n1:1" || redirected.relay == "n2:1"));
+  CHECK(redirected.endpoints.values.empty());
+  CHECK_FALSE(redirected.endpoints_age);
+  const HolderDigest for_relay = DigestFor(statement, Asking("n1"), At(500));
+  CHECK(for_relay.is_relay);
+  CHECK(for_relay.relay.empty());
+  CHECK(for_relay.endpoints.values.size() == 1);
 }
 
 TEST_CASE("a digest contains only the loads of units that the asking node reports") {
-  const UnitName asked{"pool", "m", "a1"};
+  const UnitName reported{"pool", "m", "a1"};
   Statement statement = MakeStatement();
-  statement.common.loads_due = {{asked, {Duration(900), 3}},
+  statement.common.loads_due = {{reported, {Duration(900), 3}},
                                 {{"pool", "n", ""}, {Duration(700), 1}}};
   NodeCounts asking = Asking("n1");
   CHECK(DigestFor(statement, asking, At(500)).loads_due.empty());
-  asking.units[asked].waiting = 1;
+  asking.units[reported].waiting = 1;
   const HolderDigest digest = DigestFor(statement, asking, At(500));
-  CHECK(digest.loads_due == LoadsDue{{asked, {Duration(900), 3}}});
+  CHECK(digest.loads_due == LoadsDue{{reported, {Duration(900), 3}}});
 }
 
-TEST_CASE("a relay answers no more nodes than it can, and those it has go on") {
+TEST_CASE("a relay refuses nodes beyond its maximum and keeps its members") {
   Statement statement = MakeStatement();
   statement.most_members = 2;
   statement.loads.Add("self", std::make_shared<const LoadTable>());
@@ -85,7 +85,7 @@
   CHECK(refused.epoch == 3);
 }
 
-TEST_CASE("a configuration that changes in too much to be handed on is left to the store") {
+TEST_CASE("a configuration change that is too large for a digest is left to the store") {
   for (const int routes : {200, 2'000}) {
     std::vector<Route> added(static_cast<std::size_t>(routes));
     for (int i = 0; i < routes; ++i) {
@@ -99,13 +99,13 @@
     statement.configuration = configuration;
     statement.configuration_confirmed_at = At(100);
     const HolderDigest digest = DigestFor(statement, Asking("n1"), At(500));
-    // That there is a newer one is told all the same.
+    // The digest still carries the newer version number.
     CHECK(digest.routes_version == 7);
     CHECK(digest.configuration.version == (routes == 200 ? 7 : 0));
   }
 }
 
-TEST_CASE("a node without a word tells who the holder is, as far as it knows") {
+TEST_CASE("a node without a digest returns the last known holder") {
   Statement statement = MakeStatement();
   statement.common.holds = false;
   const HolderDigest digest = DigestFor(statement, Asking("n1"), At(500));
--- a/src/rudderloom/dissemination/upstream.cpp
+++ b/src/rudderloom/dissemination/upstream.cpp
@@ -4,17 +4,17 @@
 
 namespace {
 
-// What ails a relay lasts for seconds.
-constexpr Duration kAvoidFor{10'000};
+// Relay failures typically last for seconds.
+constexpr Duration kRelayAvoidTime{10'000};
 
 }  // namespace
 
-void Upstream::TakeHolder(const std::string& address, std::uint64_t epoch) {
+void Upstream::UpdateHolder(const std::string& address, std::uint64_t epoch) {
   if (address.empty() || epoch < epoch_) {
     return;
   }
   if (address != holder_ || epoch > epoch_) {
-    tried_.clear();
+    candidate_.clear();
   }
   holder_ = address;
   epoch_ = epoch;
@@ -24,32 +24,32 @@
 }
 
 void Upstream::HolderSeen(const std::string& address, std::uint64_t epoch) {
-  TakeHolder(address, epoch);
+  UpdateHolder(address, epoch);
 }
 
 bool Upstream::Answered(const std::string& from, const HolderDigest& digest, TimePoint now) {
   const bool asked = !from.empty() && from == Address();
-  const std::uint64_t known = epoch_;
-  TakeHolder(digest.holder, digest.epoch);
-  const bool counts = digest.holds && digest.age <= kOldestWord &&
-                      (from == digest.holder || (!relay_.empty() && from == relay_));
+  const std::uint64_t known_epoch = epoch_;
+  UpdateHolder(digest.holder, digest.epoch);
+  const bool valid = digest.holds && digest.age <= kOldestWord &&
+                     (from == digest.holder || (!relay_.empty() && from == relay_));
   if (!asked) {
-    return counts;
+    return valid;
   }
-  if (counts) {
-    TakeWord(from, digest);
+  if (valid) {
+    UseDigest(from, digest);
   } else if (from == relay_) {
-    LeaveRelay(now);
-  } else if (epoch_ == known) {
-    TryNext();
+    DropRelay(now);
+  } else if (epoch_ == known_epoch) {
+    TryNextCandidate();
   }
-  return counts;
+  return valid;
 }
 
-void Upstream::TakeWord(const std::string& from, const HolderDigest& digest) {
+void Upstream::UseDigest(const std::string& from, const HolderDigest& digest) {
   standbys_ = digest.standby_addresses;
-  if (from == tried_) {
-    tried_.clear();
+  if (from == candidate_) {
+    candidate_.clear();
   }
   if (!digest.relay.empty() && digest.relay != self_) {
     relay_ = digest.relay;
@@ -58,40 +58,40 @@
 
 void Upstream::Failed(const std::string& from, TimePoint now) {
   if (!relay_.empty() && from == relay_) {
-    LeaveRelay(now);
+    DropRelay(now);
   } else if (from == Address()) {
-    TryNext();
+    TryNextCandidate();
   }
 }
 
-void Upstream::LeaveRelay(TimePoint now) {
-  avoided_[relay_] = now + kAvoidFor;
+void Upstream::DropRelay(TimePoint now) {
+  avoided_until_[relay_] = now + kRelayAvoidTime;
   relay_.clear();
 }
 
-// The holder and the standbys by turns, whoever is asked now left out.
-void Upstream::TryNext() {
+// Rotates through the standbys and the holder, skipping this node.
+void Upstream::TryNextCandidate() {
   const std::size_t turns = standbys_.size() + 1;
   for (std::size_t i = 0; i < turns; ++i) {
-    const std::size_t turn = next_standby_++ % turns;
-    tried_ = turn < standbys_.size() ? standbys_[turn] : "";
-    if (tried_ != self_) {
+    const std::size_t turn = next_turn_++ % turns;
+    candidate_ = turn < standbys_.size() ? standbys_[turn] : "";
+    if (candidate_ != self_) {
       return;
     }
   }
-  tried_.clear();
+  candidate_.clear();
 }
 
 std::string Upstream::Address() const {
-  const std::string& holder = tried_.empty() ? holder_ : tried_;
+  const std::string& holder = candidate_.empty() ? holder_ : candidate_;
   const std::string& address = relay_.empty() ? holder : relay_;
   return address == self_ ? "" : address;
 }
 
 std::vector<std::string> Upstream::AvoidedRelays(TimePoint now) {
-  std::erase_if(avoided_, [&](const auto& entry) { return entry.second <= now; });
+  std::erase_if(avoided_until_, [&](const auto& entry) { return entry.second <= now; });
   std::vector<std::string> relays;
-  for (const auto& [relay, until] : avoided_) {
+  for (const auto& [relay, until] : avoided_until_) {
     relays.push_back(relay);
   }
   return relays;
