--- a/include/rudderloom/customers/customer.hpp
+++ b/include/rudderloom/customers/customer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A customer: whose keys its callers show, how urgent they are and how much they may ask for.
+/// A customer with its API keys, request priority and quota.
 #ifndef RUDDERLOOM_CUSTOMERS_CUSTOMER_HPP
 #define RUDDERLOOM_CUSTOMERS_CUSTOMER_HPP
 
@@ -14,41 +14,41 @@
 
 namespace rudderloom {
 
-/// @brief Stands for a customer's name where nodes tell each other what was spent: a hash of it,
-/// the same on all nodes.
+/// @brief Hash of a customer's name, equal on all nodes. Identifies the customer in spending
+/// reports.
 /// @ingroup customers
 using CustomerKey = std::uint32_t;
 
-/// @brief In what a customer's requests are counted.
+/// @brief Unit in which a customer's requests are counted.
 /// @ingroup customers
 enum class QuotaUnit {
   kRequests,
-  kTokens,  ///< Of the prompt and of the answer at most, together.
+  kTokens,  ///< Prompt tokens plus maximum answer tokens.
 };
 
-/// @brief How much a customer may have run, over all nodes together.
+/// @brief Fleet-wide rate limit of a customer.
 /// @ingroup customers
 struct QuotaLimit {
   QuotaUnit unit = QuotaUnit::kRequests;
   std::uint64_t per_second = 0;    ///< 0: no limit.
-  std::uint64_t burst = 0;         ///< Beyond, at once.
-  std::uint64_t plain_tokens = 1;  ///< Counted for a request that names no tokens.
+  std::uint64_t burst = 0;         ///< Additional amount at once.
+  std::uint64_t plain_tokens = 1;  ///< Counted for a request without token counts.
 
   bool Limited() const { return per_second > 0; }
   bool operator==(const QuotaLimit&) const = default;
 };
 
-/// @brief One customer, as the configuration names it.
+/// @brief A customer as configured.
 /// @ingroup customers
 struct Customer {
   std::string name;
   std::vector<KeyDigest> keys;
-  std::optional<std::uint32_t> priority;  ///< In place of the route's; 0 is the most urgent.
+  std::optional<std::uint32_t> priority;  ///< Overrides the route's; 0 is the most urgent.
   QuotaLimit quota;
   bool operator==(const Customer&) const = default;
 };
 
-/// @brief The key that stands for a customer of this name.
+/// @brief Returns the hash of a customer's name.
 /// @ingroup customers
 CustomerKey CustomerKeyOf(std::string_view name);
 
@@ -61,15 +61,15 @@
 class CustomerTable {
  public:
   CustomerTable() = default;
-  /// @param customers Where two name one key, the first name has it.
+  /// @param customers If several have the same key, it belongs to the first of them by name.
   explicit CustomerTable(std::vector<Customer> customers);
 
-  /// @brief The customer that holds a key; null when nobody does.
+  /// @brief Returns the customer that owns a key; null if there is none.
   const Customer* Find(const KeyDigest& key) const;
 
   const std::vector<Customer>& All() const { return customers_; }
 
-  /// @brief Limits of those that have one.
+  /// @brief Returns the limits of the customers that have one.
   const QuotaLimits& Limits() const { return limits_; }
 
  private:
--- a/include/rudderloom/customers/key_digest.hpp
+++ b/include/rudderloom/customers/key_digest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What stands in for a caller's key everywhere but on the wire between the caller and its node.
+/// Digest that replaces a caller's API key everywhere except on the caller's connection.
 #ifndef RUDDERLOOM_CUSTOMERS_KEY_DIGEST_HPP
 #define RUDDERLOOM_CUSTOMERS_KEY_DIGEST_HPP
 
@@ -11,15 +11,15 @@
 
 namespace rudderloom {
 
-/// @brief Bytes of a key's digest. BLAKE2b's usual size: nobody finds another key with the same.
+/// @brief Size of a key's digest in bytes: BLAKE2b's usual size, which is collision-resistant.
 /// @ingroup customers
 inline constexpr std::size_t kKeyDigestBytes = 32;
 
 /// @brief Digest of a caller's key, the same on all nodes.
 ///
-/// The key itself is in memory only while its request's head is read: it is neither kept, told to
-/// other nodes, logged nor passed on. Two digests are compared in place of the texts, so the time
-/// that a look-up takes says nothing of a key.
+/// The key itself is in memory only while the request header is read: it is neither stored, sent to
+/// other nodes, logged nor forwarded. Lookups compare digests, not keys, so their timing reveals
+/// nothing about a key.
 /// @ingroup customers
 struct KeyDigest {
   std::array<std::uint8_t, kKeyDigestBytes> bytes{};
@@ -27,19 +27,19 @@
   bool operator<(const KeyDigest& other) const { return bytes < other.bytes; }
 };
 
-/// @brief The digest of a key.
+/// @brief Returns the digest of a key.
 /// @ingroup customers
 KeyDigest DigestOf(std::string_view key);
 
-/// @brief The first digits of a digest, for logs: tells two keys apart and gives neither away.
+/// @brief Returns the first digits of a digest for logs: distinguishes keys without revealing them.
 /// @ingroup customers
 std::string ShortName(const KeyDigest& digest);
 
-/// @brief All bytes, as other nodes are told them.
+/// @brief Returns the raw bytes, as sent to other nodes.
 /// @ingroup customers
 std::string_view BytesOf(const KeyDigest& digest);
 
-/// @brief Reads them; empty when there are too few or too many.
+/// @brief Creates a digest from raw bytes; empty if their number is wrong.
 /// @ingroup customers
 std::optional<KeyDigest> KeyDigestFrom(std::string_view bytes);
 
--- a/include/rudderloom/quota/grant_book.hpp
+++ b/include/rudderloom/quota/grant_book.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the holder of the lease lets single requests spend that are larger than their node's share.
+/// Central grants for requests that exceed their node's share of a quota.
 #ifndef RUDDERLOOM_QUOTA_GRANT_BOOK_HPP
 #define RUDDERLOOM_QUOTA_GRANT_BOOK_HPP
 
@@ -11,67 +11,70 @@
 
 namespace rudderloom {
 
-/// @brief A node asks the holder, or its relay, whether a request may run.
+/// @brief A node's inquiry to the lease holder, or to its relay, whether a request may run.
 /// @ingroup quota
 struct SpendAsk {
   CustomerKey customer = 0;
   std::uint64_t amount = 0;
 };
 
-/// @brief What the node that was asked says.
+/// @brief Decision of the node that was asked.
 /// @ingroup quota
 enum class SpendVerdict {
-  kCantSay,  ///< It is not the one to ask now, or knows no such limit: the node decides.
-  kGranted,  ///< It may run, and the holder has taken it off the balance.
+  kCantSay,  ///< It is not granting now, or knows no such limit: the asking node decides.
+  kGranted,  ///< The request may run and was deducted from the balance.
   kRefused,  ///< The balance is spent.
 };
 
-/// @brief The word for counters.
+/// @brief Returns the name used as a metric label.
 /// @ingroup quota
 std::string_view NameOf(SpendVerdict verdict);
 
-/// @brief Its answer.
+/// @brief Answer to a `SpendAsk`.
 /// @ingroup quota
 struct SpendAnswer {
   SpendVerdict verdict = SpendVerdict::kCantSay;
-  Duration wait{0};  ///< Until the balance lets another request run, when refused.
+  Duration wait{0};  ///< If refused: until the balance admits another request.
 };
 
-/// @brief Part of a balance that nodes spend by their shares, without asking. The rest is granted.
-/// A quarter spares the small requests of large customers, which are the most, an exchange.
+/// @brief Fraction of a balance that nodes spend by their shares, without asking. The rest is
+/// granted centrally. A quarter saves the round trip for the small requests of large customers,
+/// which are the majority.
 /// @ingroup quota
 constexpr double kSharedPart = 0.25;
 
-/// @brief A node that has heard no word younger than this takes the holder for gone, and asks its
-/// relay. Words come each quarter of a second and are some 300 ms old.
+/// @brief A node without a digest younger than this considers the holder lost and asks its relay.
+/// Digests arrive every 250 ms and are some 300 ms old.
 /// @ingroup quota
 constexpr Duration kGrantsWithWord{1'000};
 
-/// @brief From what grants are made: what the control state last published, of the holder or, while
+/// @brief Input to grant decisions, as last published by the control state of the holder or, while
 /// there is none, of a relay.
 /// @ingroup quota
 struct GrantBasis {
   TimePoint made_at;
-  TimePoint valid_from;   ///< Nothing is granted sooner:
-  TimePoint valid_until;  ///< or later.
+  TimePoint valid_from;   ///< Nothing is granted earlier
+  TimePoint valid_until;  ///< or from this time on.
   BalanceTable balances;
   QuotaLimits limits;
-  UnknownBalance unknown = UnknownBalance::kEmpty;  ///< Of customers without a balance.
+  UnknownBalance unknown = UnknownBalance::kEmpty;  ///< For customers without a balance.
   TimePoint unknown_since;
-  double part = 1.0;          ///< Of balances and limits, that is this node's to grant.
-  std::uint64_t counted = 0;  ///< The last grant that the balances take in.
+  double part = 1.0;          ///< Fraction of balances and limits that this node may grant.
+  std::uint64_t counted = 0;  ///< The last grant included in the balances.
 };
 
-/// @brief One request that was granted.
+/// @brief A granted request.
 /// @ingroup quota
 struct SpendGrant {
-  std::uint64_t number = 0;  ///< Rises with each.
+  std::uint64_t number = 0;  ///< Increases with each grant.
   SpendAsk ask;
 };
 
-/// @brief Grants from the published balances what was not granted since. Pure; time is passed in.
+/// @brief Grants requests from the published balances, less the grants made since. Does no I/O;
+/// time is passed in.
 ///
-/// A customer is ahead by one request at the most, however many nodes ask at a time.
+/// A customer overdraws its balance by one request at most, regardless of the number of nodes that
+/// ask concurrently.
 /// @ingroup quota
 class GrantBook {
  public:
@@ -79,7 +82,7 @@
 
   SpendAnswer Ask(const SpendAsk& ask, const GrantBasis& basis, TimePoint now);
 
-  /// @brief The grant that was last made.
+  /// @brief Returns the most recent grant.
   const SpendGrant& Last() const { return outstanding_.back(); }
 
  private:
@@ -88,8 +91,8 @@
 
   QuotaBounds bounds_;
   std::uint64_t next_number_ = 1;
-  std::deque<SpendGrant> outstanding_;  // that the balances don't take in yet
-  std::map<CustomerKey, std::uint64_t> sums_;
+  std::deque<SpendGrant> outstanding_;  // not yet included in the balances
+  std::map<CustomerKey, std::uint64_t> outstanding_sums_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/quota/quota_account.hpp
+++ b/include/rudderloom/quota/quota_account.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What this node lets customers spend, between two words of the lease's holder and without any.
+/// Quota decisions of one node, between two digests of the lease holder and without any.
 #ifndef RUDDERLOOM_QUOTA_QUOTA_ACCOUNT_HPP
 #define RUDDERLOOM_QUOTA_QUOTA_ACCOUNT_HPP
 
@@ -10,93 +10,94 @@
 
 namespace rudderloom {
 
-/// @brief What becomes of a request as far as its customer's limit goes.
+/// @brief Decision on a request under its customer's limit.
 /// @ingroup quota
 enum class QuotaVerdict {
   kGranted,
   kRefused,
-  kAsk,  ///< It is more than this node's share: the node that grants requests can tell.
+  kAsk,  ///< It exceeds this node's share: ask the granting node.
 };
 
-/// @brief A verdict, and with a refusal how long until a request is likely to be let run.
+/// @brief A verdict and, for a refusal, the estimated time until a request is admitted.
 /// @ingroup quota
 struct QuotaDecision {
   QuotaVerdict verdict = QuotaVerdict::kGranted;
   Duration wait{0};
 };
 
-/// @brief Whether a node that grants requests can be asked: the holder, or a relay.
+/// @brief Whether a granting node, the holder or a relay, can be asked.
 /// @ingroup quota
 enum class GranterReach {
   kReachable,
-  kUnreachable,  ///< Not known, silent, or it could not say.
+  kUnreachable,  ///< Unknown, silent, or it gave no decision.
 };
 
-/// @brief Decides at a node which requests of a customer are inside its limit. Pure; time is passed
-/// in.
+/// @brief Decides on one node which requests are within their customer's limit. Does no I/O; time
+/// is passed in.
 ///
-/// A customer's callers come by all nodes, and a request is larger than a node's equal share of a
-/// second: with 60 nodes that share is 0.5 to 10 thousand tokens, a prompt some 9 thousand. So the
-/// holder grants most requests one by one. Only a part of the balance that it tells is spent
-/// without asking: of that a node takes a share by the number of nodes where the customer asks and
-/// by how much of that it asks here, and takes off what the balance does not take in yet.
+/// A customer's callers use all nodes, and a request is larger than a node's equal share of one
+/// second: with 60 nodes that share is 500 to 10,000 tokens, while a prompt has some 9,000. The
+/// holder therefore grants most requests individually. Only a fraction of the published balance is
+/// spent without asking. A node's share of that fraction depends on the number of nodes that the
+/// customer uses and on this node's part of its demand. Spending that the balance does not include
+/// yet is deducted.
 ///
-/// While there is no holder, relays grant the same way, each its group's part. Where nobody can be
-/// asked a node goes by its share alone. A request may run while anything is left of it, and what
-/// it takes beyond is owed: all nodes together are ahead by one request of each at the most. One
-/// that has heard nothing of a customer yet takes a small fixed share.
+/// While there is no holder, relays grant the same way, each its group's part. If no granting node
+/// can be asked, a node decides by its share alone. A request may run while the share is not
+/// negative, and the excess is owed: all nodes together overdraw by one request per node at most. A
+/// node without data on a customer uses a small fixed share.
 /// @ingroup quota
 class QuotaAccount {
  public:
   explicit QuotaAccount(const QuotaBounds& bounds) : bounds_(bounds) {}
 
-  /// @brief True while the holder's word is so new that the holder itself grants requests. After
-  /// that its relays do, each for the nodes that report to it.
+  /// @brief Returns true while the holder's digest is recent enough that the holder itself grants
+  /// requests. After that its relays do, each for the nodes that report to it.
   bool WordFresh(TimePoint now) const;
 
-  /// @brief A request comes. Told once, before anything is decided about it.
+  /// @brief Records a request. Call once per request, before any decision on it.
   void Asked(CustomerKey customer, const QuotaLimit& limit, std::uint64_t amount, TimePoint now);
 
-  /// @brief Decides about it, and takes off what it grants.
+  /// @brief Decides on a request and deducts its amount if granted.
   QuotaDecision Decide(CustomerKey customer,
                        std::uint64_t amount,
                        GranterReach reach,
                        TimePoint now);
 
-  /// @brief The node that was asked refused a request: for a moment the next ones are refused
+  /// @brief Records a refusal by the granting node: for a short time, further requests are refused
   /// without asking.
   void RefusedByGranter(CustomerKey customer, Duration wait, TimePoint now);
 
-  /// @brief A request that this node or another one let run was refused after all.
+  /// @brief Refunds a request that was granted by any node but refused for another reason.
   void GiveBack(CustomerKey customer, std::uint64_t amount);
 
-  /// @brief Takes a newer word, or the same one again.
-  void Heard(QuotaWordPtr word, TimePoint now);
+  /// @brief Applies a newer digest; no effect if it is the same one.
+  void Heard(QuotaWordPtr snapshot, TimePoint now);
 
-  /// @brief What was spent since the last call, by every customer that has asked lately.
+  /// @brief Returns the spending since the last call, for all recently active customers.
   SpendingTable Take(TimePoint now);
 
  private:
   struct Account {
     QuotaLimit limit;
-    double share = 0.0;       // of the customer's rate and balance
+    double share = 0.0;       // fraction of the customer's rate and balance
     double balance = 0.0;     // this node's part
-    TimePoint refused_until;  // by the node that was asked
-    TimePoint moved_at;
+    TimePoint refused_until;  // by the granting node
+    TimePoint refilled_at;
     TimePoint asked_at;
     FadingRate asked;
-    std::int64_t total = 0;  // spent without asking, since the start of the process
-    Spending untold;
+    std::int64_t total_spent = 0;  // spent without asking since process start
+    Spending unreported;
   };
 
-  Account& Open(CustomerKey customer, const QuotaLimit& limit, TimePoint now);
-  double Most(const Account& account) const;
-  double Inflow(const Account& account, GranterReach reach, TimePoint now) const;
-  void Move(Account& account, GranterReach reach, TimePoint now) const;
-  void TakeWord(CustomerKey customer, Account& account, TimePoint now) const;
+  Account& FindOrCreate(CustomerKey customer, const QuotaLimit& limit, TimePoint now);
+  double MaxShare(const Account& account) const;
+  double RefillRate(const Account& account, GranterReach reach, TimePoint now) const;
+  void Refill(Account& account, GranterReach reach, TimePoint now) const;
+  void ApplySnapshot(CustomerKey customer, Account& account, TimePoint now) const;
 
   QuotaBounds bounds_;
-  QuotaWordPtr word_;
+  QuotaWordPtr snapshot_;
   std::map<CustomerKey, Account> accounts_;
 };
 
--- a/include/rudderloom/quota/quota_ledger.hpp
+++ b/include/rudderloom/quota/quota_ledger.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What each customer may still spend over all nodes, as the holder of the lease reckons it.
+/// Fleet-wide customer balances, maintained by the lease holder.
 #ifndef RUDDERLOOM_QUOTA_QUOTA_LEDGER_HPP
 #define RUDDERLOOM_QUOTA_QUOTA_LEDGER_HPP
 
@@ -11,30 +11,31 @@
 
 namespace rudderloom {
 
-/// @brief Balances that the holder takes over from the one before it.
+/// @brief Balances that a new holder takes over from its predecessor.
 /// @ingroup quota
 struct FormerBalances {
   BalanceTable balances;
-  TimePoint made_at;  ///< When they held.
+  TimePoint made_at;  ///< When they were valid.
 };
 
-/// @brief A token bucket for each customer, with spending told later. Pure; time is passed in.
+/// @brief A token bucket per customer, with spending reported afterwards. Does no I/O; time is
+/// passed in.
 ///
-/// Every amount is told once by each node and taken off once. Over any window a customer's requests
-/// can't take more than its rate, what it may be ahead, and what nodes spend before they are told:
-/// see `QuotaAccount`.
+/// Each node reports every amount once, and it is deducted once. Over any window, a customer can't
+/// spend more than its rate, its maximum balance, and what nodes spend before they receive the new
+/// balance: see `QuotaAccount`.
 /// @ingroup quota
 class QuotaLedger {
  public:
   explicit QuotaLedger(const QuotaBounds& bounds) : bounds_(bounds) {}
 
-  /// @brief The lease was taken.
+  /// @brief Resets the ledger when this node acquires the lease.
   void Begin(const FormerBalances& former, UnknownBalance unknown, TimePoint now);
 
-  /// @brief Takes what nodes told, and lets rates flow in up to now.
-  void Move(const SpendingTable& told, const QuotaLimits& limits, TimePoint now);
+  /// @brief Refills the balances up to `now` and deducts the reported spending.
+  void Move(const SpendingTable& reported, const QuotaLimits& limits, TimePoint now);
 
-  /// @brief The holder let a request run that a node asked for.
+  /// @brief Deducts a request that the holder granted.
   void Granted(const SpendAsk& granted, const QuotaLimits& limits, TimePoint now);
 
   UnknownBalance Unknown() const { return unknown_; }
@@ -47,10 +48,10 @@
     double level = 0.0;
     std::uint32_t nodes = 0;
     FadingRate asked;
-    TimePoint moved_at;
+    TimePoint refilled_at;
   };
 
-  Entry& Open(CustomerKey customer, const QuotaLimit& limit, TimePoint now);
+  Entry& FindOrCreate(CustomerKey customer, const QuotaLimit& limit, TimePoint now);
   void Refill(Entry& entry, const QuotaLimit& limit, TimePoint now) const;
 
   QuotaBounds bounds_;
--- a/include/rudderloom/quota/spending.hpp
+++ b/include/rudderloom/quota/spending.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What customers have spent, and what they may still spend, as nodes tell each other.
+/// Customer spending and balances, as exchanged between nodes.
 #ifndef RUDDERLOOM_QUOTA_SPENDING_HPP
 #define RUDDERLOOM_QUOTA_SPENDING_HPP
 
@@ -12,33 +12,34 @@
 
 namespace rudderloom {
 
-/// @brief How far over a limit requests may go that run, over all nodes together, and in which
-/// time.
+/// @brief By how much the admitted requests of all nodes together may exceed a limit within a
+/// window.
 /// @ingroup quota
 struct QuotaBounds {
   Duration window{8'000};  ///< Sliding.
-  double overshoot = 0.0;  ///< Share of what the limit allows within the window.
-  double slack = 0.0;      ///< Beyond that, in the limit's unit.
+  double overshoot = 0.0;  ///< Fraction of what the limit allows within the window.
+  double slack = 0.0;      ///< In addition, in the limit's unit.
 };
 
-/// @brief Most that a customer who has asked for nothing lately may spend at once.
+/// @brief Returns the maximum balance: what a customer may spend at once after a time without
+/// requests.
 ///
-/// Its burst, and a quarter of what the bounds let it go over its limit: callers that come in
-/// clumps, or with one prompt larger than the burst, are inside their limit on the whole. The other
-/// three quarters are for what nodes spend before they hear of each other.
+/// It is the burst plus a quarter of the overshoot that the bounds allow: callers with bursty
+/// traffic, or with a prompt larger than the burst, are within their limit on average. The other
+/// three quarters are reserved for what nodes spend before they learn of each other's spending.
 /// @ingroup quota
 std::int64_t MostAhead(const QuotaLimit& limit, const QuotaBounds& bounds);
 
-/// @brief What is assumed of customers of whom nothing is known.
+/// @brief Assumption on customers without a known balance.
 /// @ingroup quota
 enum class UnknownBalance {
-  kWhole,    ///< Nobody has ever asked: the whole system starts.
-  kQuarter,  ///< They had most of it when the holder before last renewed its lease.
-  kEmpty,    ///< They may have spent it at nodes that are gone.
+  kWhole,    ///< First start of the whole system: nothing was spent.
+  kQuarter,  ///< Mostly unspent at the last renewal by the holder before last.
+  kEmpty,    ///< May have been spent on nodes that are gone.
 };
 
-/// @brief The balance of such a customer.
-/// @param since When that was so.
+/// @brief Returns the assumed balance of a customer without a known one.
+/// @param since When the assumption held.
 /// @ingroup quota
 double UnknownLevel(UnknownBalance unknown,
                     const QuotaLimit& limit,
@@ -46,16 +47,16 @@
                     TimePoint since,
                     TimePoint now);
 
-/// @brief What one customer spent, at one node or at several, since it was last told.
+/// @brief Unreported spending of one customer on one or several nodes.
 /// @ingroup quota
 struct Spending {
-  std::int64_t spent = 0;   ///< By requests that ran or may yet; below 0: more was given back.
-  std::uint64_t asked = 0;  ///< The same with requests that were refused.
-  std::uint32_t nodes = 0;  ///< At which it has asked within `kAsksFor`.
+  std::int64_t spent = 0;   ///< By granted requests; negative if more was refunded.
+  std::uint64_t asked = 0;  ///< Including refused requests.
+  std::uint32_t nodes = 0;  ///< Nodes with requests within `kAsksFor`.
   bool operator==(const Spending&) const = default;
 };
 
-/// @brief A node counts as one that a customer asks at for so long after a request.
+/// @brief Time after a request for which a node counts as used by the customer.
 /// @ingroup quota
 constexpr Duration kAsksFor{10'000};
 
@@ -63,16 +64,16 @@
 /// @ingroup quota
 using SpendingTable = std::map<CustomerKey, Spending>;
 
-/// @brief Adds what was told earlier, or was to be, to a newer table of the same node.
+/// @brief Adds earlier spending to a newer table of the same node.
 /// @ingroup quota
 void AddUntold(const SpendingTable& earlier, SpendingTable& newer);
 
-/// @brief What a customer may still spend over all nodes, as of the word of the lease's holder.
+/// @brief Fleet-wide balance of a customer, according to the lease holder's digest.
 /// @ingroup quota
 struct CustomerBalance {
-  std::int64_t level = 0;              ///< Below 0: spent ahead of its rate.
-  std::uint32_t nodes = 0;             ///< At which it asks.
-  std::uint64_t asked_per_second = 0;  ///< Over all nodes.
+  std::int64_t level = 0;              ///< Negative if overdrawn.
+  std::uint32_t nodes = 0;             ///< Number of nodes that the customer uses.
+  std::uint64_t asked_per_second = 0;  ///< Demand over all nodes.
   bool operator==(const CustomerBalance&) const = default;
 };
 
@@ -80,20 +81,20 @@
 /// @ingroup quota
 using BalanceTable = std::map<CustomerKey, CustomerBalance>;
 
-/// @brief The holder's word as traffic needs it. Immutable once published.
+/// @brief The holder's balances for the traffic thread. Immutable once published.
 /// @ingroup quota
 struct QuotaWord {
-  TimePoint made_at;  ///< By the holder.
+  TimePoint made_at;  ///< When the holder created it.
   BalanceTable balances;
-  /// @brief What this process has spent since its start as far as the balances take it in.
+  /// @brief Spending of this process since its start that is included in the balances.
   std::map<CustomerKey, std::int64_t> counted;
 };
 
-/// @brief Null before the first word.
+/// @brief Null before the first digest.
 /// @ingroup quota
 using QuotaWordPtr = std::shared_ptr<const QuotaWord>;
 
-/// @brief An amount a second that fades: of the last seconds, most of the last one.
+/// @brief Exponentially decaying average of an amount per second.
 /// @ingroup quota
 class FadingRate {
  public:
@@ -102,7 +103,7 @@
 
  private:
   double sum_ = 0.0;
-  TimePoint faded_at_;
+  TimePoint decayed_at_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/quota/spending_log.hpp
+++ b/include/rudderloom/quota/spending_log.hpp
@@ -1,6 +1,5 @@
 /// @file
-/// Spending on its way to the holder of the lease: what was told, what arrived, what it has
-/// counted.
+/// Reliable reporting of spending to the lease holder: sent, delivered and counted reports.
 #ifndef RUDDERLOOM_QUOTA_SPENDING_LOG_HPP
 #define RUDDERLOOM_QUOTA_SPENDING_LOG_HPP
 
@@ -13,57 +12,58 @@
 
 namespace rudderloom {
 
-/// @brief Spending that is told with one report.
+/// @brief Spending sent with one report.
 /// @ingroup quota
 struct SpendingReport {
-  std::uint64_t number = 0;  ///< Rises with each report of a process; 0 for none.
+  std::uint64_t number = 0;  ///< Increases with each report of a process; 0 for none.
   SpendingTable table;
 };
 
-/// @brief Collects a node's own spending and that of nodes that report to it, and passes it on with
-/// the node's reports. Pure; time is passed in.
+/// @brief Collects the spending of a node and of its members, and forwards it with the node's
+/// reports. Does no I/O; time is passed in.
 ///
-/// Each amount is in one report at a time. One that did not arrive is told again with the next;
-/// what has arrived is the other side's to pass on, also when this node turns to another one after
-/// that. The holder reports to itself.
+/// Each amount is in one report at a time. The contents of a failed report are sent again with the
+/// next one. After delivery the receiver is responsible for them, even if this node changes its
+/// upstream node. The holder reports to itself.
 /// @ingroup quota
 class SpendingLog {
  public:
-  /// @param first_number Of reports; another one in each life of a process.
+  /// @param first_number First report number; must differ for each process.
   explicit SpendingLog(std::uint64_t first_number) : next_number_(first_number) {}
 
-  /// @brief Takes what this node's traffic spent since the last call.
+  /// @brief Adds this node's own spending since the last call.
   void CountedSelf(const SpendingTable& own);
 
-  /// @brief Takes what another node told, and the number of its report.
+  /// @brief Adds the spending reported by another node, with the number of its report.
   void Counted(const std::string& node,
                std::uint64_t number,
-               const SpendingTable& told,
+               const SpendingTable& reported,
                TimePoint now);
 
-  /// @brief This node let another one's request run that the holder does not know of.
+  /// @brief Adds a request of another node that this node granted in place of the holder.
   void Granted(const SpendAsk& ask) {
     pending_[ask.customer].spent += static_cast<std::int64_t>(ask.amount);
   }
 
-  /// @brief Everything that was not told yet.
+  /// @brief Returns a report of everything that was not sent yet.
   SpendingReport Take(TimePoint now);
 
-  /// @brief The report of this number, and those before it, arrived or did not.
+  /// @brief Marks the report of this number and all earlier ones as delivered, or as failed.
   void Arrived(std::uint64_t number);
   void Failed(std::uint64_t number);
 
-  /// @brief The holder's balances take in the report of this number and those before it.
+  /// @brief Marks the report of this number and all earlier ones as included in the holder's
+  /// balances.
   void Confirmed(std::uint64_t number);
 
-  /// @brief What this node's traffic has spent since its start as far as balances take it in.
+  /// @brief Returns this node's own spending since its start that the balances include.
   const std::map<CustomerKey, std::int64_t>& OwnCounted() const { return own_counted_; }
 
-  /// @brief The last report of each node that balances take in.
+  /// @brief Returns the last report of each node that the balances include.
   const std::map<std::string, std::uint64_t>& ReportsCounted() const { return reports_counted_; }
 
  private:
-  // What a report took along.
+  // Contents of a sent report.
   struct Sent {
     std::uint64_t number = 0;
     TimePoint taken_at;
@@ -73,12 +73,12 @@
     std::map<std::string, std::uint64_t> reports;  // of other nodes
   };
   struct Member {
-    SpendingTable asking;  // as it last told it
+    SpendingTable asking;  // from its last report
     TimePoint heard_at;
   };
 
-  void Settle(const Sent& sent);
-  void SettleOld(TimePoint now);
+  void MarkCounted(const Sent& sent);
+  void MarkExpiredCounted(TimePoint now);
 
   std::uint64_t next_number_;
   SpendingTable pending_;
--- a/src/rudderloom/customers/customer.cpp
+++ b/src/rudderloom/customers/customer.cpp
@@ -6,17 +6,17 @@
 namespace rudderloom {
 
 CustomerKey CustomerKeyOf(std::string_view name) {
-  constexpr CustomerKey kStart = 2'166'136'261U;
-  constexpr CustomerKey kPrime = 16'777'619U;
-  CustomerKey key = kStart;
+  constexpr CustomerKey kFnvOffsetBasis = 2'166'136'261U;
+  constexpr CustomerKey kFnvPrime = 16'777'619U;
+  CustomerKey key = kFnvOffsetBasis;
   for (const char c : name) {
-    key = (key ^ static_cast<unsigned char>(c)) * kPrime;
+    key = (key ^ static_cast<unsigned char>(c)) * kFnvPrime;
   }
   return key;
 }
 
 CustomerTable::CustomerTable(std::vector<Customer> customers) : customers_(std::move(customers)) {
-  // The same on all nodes, in whatever order each has heard of them.
+  // Sorted, so that all nodes resolve duplicate keys alike, regardless of the input order.
   std::sort(customers_.begin(), customers_.end(),
             [](const Customer& left, const Customer& right) { return left.name < right.name; });
   for (std::size_t i = 0; i < customers_.size(); ++i) {
--- a/src/rudderloom/customers/customer_test.cpp
+++ b/src/rudderloom/customers/customer_test.cpp
@@ -14,7 +14,7 @@
   return customer;
 }
 
-TEST_CASE("a key leads to the customer that holds it, and to nobody once it is taken away") {
+TEST_CASE("a key resolves to its customer, and to none after its removal") {
   const CustomerTable before({MakeCustomer("a", {"k1", "k2"}), MakeCustomer("b", {"k3"})});
   CHECK(before.Find(DigestOf("k2"))->name == "a");
   CHECK(before.Find(DigestOf("k3"))->name == "b");
@@ -24,14 +24,14 @@
   CHECK(after.Find(DigestOf("k2")) == nullptr);
 }
 
-TEST_CASE("a key that was passed on belongs to its new holder alone") {
+TEST_CASE("a reassigned key belongs only to its new customer") {
   const CustomerTable table({MakeCustomer("a", {"k1"}), MakeCustomer("b", {"k2"})});
   const CustomerTable later({MakeCustomer("a", {}), MakeCustomer("b", {"k2", "k1"})});
   CHECK(table.Find(DigestOf("k1"))->name == "a");
   CHECK(later.Find(DigestOf("k1"))->name == "b");
 }
 
-TEST_CASE("a digest comes back from its bytes, and its short name shows no key") {
+TEST_CASE("a digest is restored from its bytes, and short names distinguish keys") {
   const KeyDigest digest = DigestOf("asnmgkcuyj8pjbvk9m68");
   CHECK(KeyDigestFrom(BytesOf(digest)) == digest);
   CHECK_FALSE(KeyDigestFrom("short"));
--- a/src/rudderloom/customers/key_digest.cpp
+++ b/src/rudderloom/customers/key_digest.cpp
@@ -10,18 +10,18 @@
 namespace {
 
 constexpr std::size_t kShownBytes = 4;
-// Keeps the digests apart from those that other programs make of the same keys.
-constexpr std::string_view kPurpose = "rudderloom caller's key";
-static_assert(kPurpose.size() >= crypto_generichash_KEYBYTES_MIN);
+// Domain separation: makes the digests differ from those of other programs for the same keys.
+constexpr std::string_view kHashContext = "rudderloom caller's key";
+static_assert(kHashContext.size() >= crypto_generichash_KEYBYTES_MIN);
 
 }  // namespace
 
 KeyDigest DigestOf(std::string_view key) {
   KeyDigest digest;
   const auto* text = reinterpret_cast<const unsigned char*>(key.data());
-  const auto* purpose = reinterpret_cast<const unsigned char*>(kPurpose.data());
-  crypto_generichash(digest.bytes.data(), digest.bytes.size(), text, key.size(), purpose,
-                     kPurpose.size());
+  const auto* context = reinterpret_cast<const unsigned char*>(kHashContext.data());
+  crypto_generichash(digest.bytes.data(), digest.bytes.size(), text, key.size(), context,
+                     kHashContext.size());
   return digest;
 }
 
--- a/src/rudderloom/quota/grant_book.cpp
+++ b/src/rudderloom/quota/grant_book.cpp
@@ -19,27 +19,28 @@
 
 double GrantBook::LevelOf(CustomerKey customer, const GrantBasis& basis, TimePoint now) const {
   const QuotaLimit& limit = basis.limits.at(customer);
-  const auto told = basis.balances.find(customer);
-  if (told == basis.balances.end()) {
+  const auto reported = basis.balances.find(customer);
+  if (reported == basis.balances.end()) {
     return UnknownLevel(basis.unknown, limit, bounds_, basis.unknown_since, now);
   }
   const double age = std::chrono::duration<double>(now - basis.made_at).count();
-  const double level = static_cast<double>(told->second.level) +
+  const double level = static_cast<double>(reported->second.level) +
                        static_cast<double>(limit.per_second) * std::max(0.0, age);
   return std::min(level, static_cast<double>(MostAhead(limit, bounds_)));
 }
 
 double GrantBook::Available(CustomerKey customer, const GrantBasis& basis, TimePoint now) const {
   const double level = basis.part * LevelOf(customer, basis, now);
-  const auto granted = sums_.find(customer);
-  const double outstanding = granted == sums_.end() ? 0.0 : static_cast<double>(granted->second);
+  const auto granted = outstanding_sums_.find(customer);
+  const double outstanding =
+      granted == outstanding_sums_.end() ? 0.0 : static_cast<double>(granted->second);
   return level - kSharedPart * std::max(0.0, level) - outstanding;
 }
 
 SpendAnswer GrantBook::Ask(const SpendAsk& ask, const GrantBasis& basis, TimePoint now) {
   while (!outstanding_.empty() && outstanding_.front().number <= basis.counted) {
     const SpendAsk& counted = outstanding_.front().ask;
-    sums_[counted.customer] -= counted.amount;
+    outstanding_sums_[counted.customer] -= counted.amount;
     outstanding_.pop_front();
   }
   const bool valid = now >= basis.valid_from && now < basis.valid_until;
@@ -54,7 +55,7 @@
     return {SpendVerdict::kRefused, Duration(static_cast<Duration::rep>(wait))};
   }
   outstanding_.push_back({next_number_++, ask});
-  sums_[ask.customer] += ask.amount;
+  outstanding_sums_[ask.customer] += ask.amount;
   return {SpendVerdict::kGranted, Duration(0)};
 }
 
--- a/src/rudderloom/quota/grant_book_test.cpp
+++ b/src/rudderloom/quota/grant_book_test.cpp
@@ -13,7 +13,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-GrantBasis Basis(std::int64_t level, std::uint64_t counted) {
+GrantBasis MakeBasis(std::int64_t level, std::uint64_t counted) {
   GrantBasis basis;
   basis.made_at = At(0);
   basis.valid_until = At(3'000);
@@ -23,7 +23,7 @@
   return basis;
 }
 
-std::uint64_t GrantedAtOnce(GrantBook& book, const GrantBasis& basis, TimePoint now) {
+std::uint64_t GrantUntilRefused(GrantBook& book, const GrantBasis& basis, TimePoint now) {
   std::uint64_t granted = 0;
   while (book.Ask({kCustomer, 300}, basis, now).verdict == SpendVerdict::kGranted) {
     granted += 300;
@@ -31,46 +31,46 @@
   return granted;
 }
 
-TEST_CASE("sixty nodes that ask at once get what the balance holds beside the shares") {
+TEST_CASE("sixty concurrently asking nodes get the part of the balance that is not shared") {
   GrantBook book(kBounds);
-  // 1,500 of 2,000, and one request ahead.
-  CHECK(GrantedAtOnce(book, Basis(2'000, 0), At(0)) == 1'800);
+  // 1,500 of 2,000, and an overdraft of one request.
+  CHECK(GrantUntilRefused(book, MakeBasis(2'000, 0), At(0)) == 1'800);
 }
 
-TEST_CASE("what a newer balance takes in is not taken off it again") {
+TEST_CASE("grants included in a newer balance are not deducted again") {
   GrantBook book(kBounds);
-  GrantedAtOnce(book, Basis(2'000, 0), At(0));
-  // Five of the six grants, of 300 each, are in the balance: the sixth is outstanding.
-  CHECK(GrantedAtOnce(book, Basis(500, 5), At(0)) == 300);
+  GrantUntilRefused(book, MakeBasis(2'000, 0), At(0));
+  // Five of the six grants, of 300 each, are in the balance; the sixth is outstanding.
+  CHECK(GrantUntilRefused(book, MakeBasis(500, 5), At(0)) == 300);
 }
 
-TEST_CASE("the wait that a refusal tells is when the next request may run") {
+TEST_CASE("the wait time of a refusal ends when the next request may run") {
   GrantBook book(kBounds);
-  const GrantBasis basis = Basis(-500, 0);
+  const GrantBasis basis = MakeBasis(-500, 0);
   const SpendAnswer refused = book.Ask({kCustomer, 300}, basis, At(0));
   CHECK(refused.verdict == SpendVerdict::kRefused);
   CHECK(refused.wait == Duration(500));
   CHECK(book.Ask({kCustomer, 300}, basis, At(500)).verdict == SpendVerdict::kGranted);
 }
 
-TEST_CASE("a holder whose lease may have passed on, or that doesn't know a customer, can't say") {
+TEST_CASE("no decision is given for an unknown customer or if the lease may have expired") {
   GrantBook book(kBounds);
-  CHECK(book.Ask({kCustomer, 1}, Basis(2'000, 0), At(3'000)).verdict == SpendVerdict::kCantSay);
-  CHECK(book.Ask({kCustomer + 1, 1}, Basis(2'000, 0), At(0)).verdict == SpendVerdict::kCantSay);
-  GrantBasis later = Basis(2'000, 0);
+  CHECK(book.Ask({kCustomer, 1}, MakeBasis(2'000, 0), At(3'000)).verdict == SpendVerdict::kCantSay);
+  CHECK(book.Ask({kCustomer + 1, 1}, MakeBasis(2'000, 0), At(0)).verdict == SpendVerdict::kCantSay);
+  GrantBasis later = MakeBasis(2'000, 0);
   later.valid_from = At(100);
   CHECK(book.Ask({kCustomer, 1}, later, At(99)).verdict == SpendVerdict::kCantSay);
   CHECK(book.Ask({kCustomer, 1}, later, At(100)).verdict == SpendVerdict::kGranted);
 }
 
-TEST_CASE("a customer that nobody knows of has all, a part or nothing to spend, as assumed") {
-  GrantBasis basis = Basis(0, 0);
+TEST_CASE("an unknown customer starts with a full, partial or empty balance, as assumed") {
+  GrantBasis basis = MakeBasis(0, 0);
   basis.balances.clear();
   basis.unknown_since = At(0);
   const auto granted = [&](UnknownBalance unknown, int ms) {
     GrantBook book(kBounds);
     basis.unknown = unknown;
-    return GrantedAtOnce(book, basis, At(ms));
+    return GrantUntilRefused(book, basis, At(ms));
   };
   CHECK(granted(UnknownBalance::kWhole, 0) == 1'800);
   CHECK(granted(UnknownBalance::kQuarter, 0) == 600);
@@ -78,17 +78,17 @@
   CHECK(granted(UnknownBalance::kEmpty, 1'000) == 900);
 }
 
-TEST_CASE("relays that grant while there is no holder grant their parts of the balance") {
+TEST_CASE("without a holder, relays grant their fraction of the balance") {
   GrantBook book(kBounds);
-  GrantBasis basis = Basis(2'000, 0);
+  GrantBasis basis = MakeBasis(2'000, 0);
   basis.part = 0.25;
-  // 375, and one request ahead.
-  CHECK(GrantedAtOnce(book, basis, At(0)) == 600);
+  // 375, and an overdraft of one request.
+  CHECK(GrantUntilRefused(book, basis, At(0)) == 600);
 }
 
-TEST_CASE("a stale balance grants no more than a customer may be ahead") {
+TEST_CASE("a stale balance does not grow beyond the maximum balance") {
   GrantBook book(kBounds);
-  CHECK(GrantedAtOnce(book, Basis(2'000, 0), At(2'900)) == 1'800);
+  CHECK(GrantUntilRefused(book, MakeBasis(2'000, 0), At(2'900)) == 1'800);
 }
 
 }  // namespace
--- a/src/rudderloom/quota/quota_account_test.cpp
+++ b/src/rudderloom/quota/quota_account_test.cpp
@@ -1,5 +1,5 @@
-// Load: 60 nodes, a customer whose callers come by a few of them, requests larger than a node's
-// equal share of a second.
+// Scenario: 60 nodes, a customer that uses a few of them, and requests larger than a node's equal
+// share of one second.
 #include "rudderloom/quota/quota_account.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr CustomerKey kCustomer = 7;
-// A customer of the smallest size, a request of the usual one.
+// The smallest customer and a request of typical size.
 const QuotaLimit kLimit{QuotaUnit::kTokens, 29'000, 29'000, 200};
 const QuotaBounds kBounds{Duration(8'000), 0.1, 110'000.0};
 constexpr std::uint64_t kRequest = 9'300;
@@ -18,14 +18,17 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-QuotaWordPtr Word(std::int64_t level, std::uint32_t nodes, std::uint64_t asked, int made_at) {
-  auto word = std::make_shared<QuotaWord>();
-  word->made_at = At(made_at);
-  word->balances[kCustomer] = {level, nodes, asked};
-  return word;
+QuotaWordPtr MakeSnapshot(std::int64_t level,
+                          std::uint32_t nodes,
+                          std::uint64_t asked,
+                          int made_at) {
+  auto snapshot = std::make_shared<QuotaWord>();
+  snapshot->made_at = At(made_at);
+  snapshot->balances[kCustomer] = {level, nodes, asked};
+  return snapshot;
 }
 
-// One request at a node that can't ask the holder.
+// One request on a node that can't ask the holder; returns the wait time if refused.
 std::optional<Duration> SpendAlone(QuotaAccount& account,
                                    const QuotaLimit& limit,
                                    std::uint64_t amount,
@@ -35,47 +38,47 @@
   return decision.verdict == QuotaVerdict::kGranted ? std::nullopt : std::optional(decision.wait);
 }
 
-// The same at one that can.
+// One request on a node that can ask the holder.
 QuotaVerdict SpendOrAsk(QuotaAccount& account, std::uint64_t amount, TimePoint now) {
   account.Asked(kCustomer, kLimit, amount, now);
   return account.Decide(kCustomer, amount, GranterReach::kReachable, now).verdict;
 }
 
-TEST_CASE("a node that has heard nothing lets one request run at once, and then a small share") {
+TEST_CASE("a node without data admits one request immediately, then a small share") {
   QuotaAccount account(kBounds);
   CHECK_FALSE(SpendAlone(account, kLimit, kRequest, At(0)));
   const auto wait = SpendAlone(account, kLimit, kRequest, At(100));
   REQUIRE(wait);
-  // 9,300 tokens at a 64th of the rate.
+  // 9,300 tokens at 1/64 of the rate.
   CHECK(*wait > Duration(20'000));
   CHECK(*wait < Duration(21'000));
 }
 
-TEST_CASE("what is more than a node's share is asked for, and small requests are not") {
+TEST_CASE("requests larger than the node's share are asked for, small ones are not") {
   QuotaAccount account(kBounds);
-  account.Heard(Word(90'000, 60, 15'000, 0), At(0));
-  // A 120th of a quarter of the balance, and more where it is asked for here.
+  account.Heard(MakeSnapshot(90'000, 60, 15'000, 0), At(0));
+  // 1/120 of a quarter of the balance, plus a part by local demand.
   CHECK(SpendOrAsk(account, 100, At(0)) == QuotaVerdict::kGranted);
   CHECK(SpendOrAsk(account, kRequest, At(0)) == QuotaVerdict::kAsk);
 }
 
-TEST_CASE("after the holder's refusal the next requests are refused without asking, for a moment") {
+TEST_CASE("after a refusal by the holder, requests are briefly refused without asking") {
   QuotaAccount account(kBounds);
-  account.Heard(Word(-5'000, 60, 90'000, 0), At(0));
+  account.Heard(MakeSnapshot(-5'000, 60, 90'000, 0), At(0));
   CHECK(SpendOrAsk(account, kRequest, At(0)) == QuotaVerdict::kAsk);
   account.RefusedByGranter(kCustomer, Duration(700), At(10));
   CHECK(SpendOrAsk(account, kRequest, At(200)) == QuotaVerdict::kRefused);
   CHECK(SpendOrAsk(account, kRequest, At(311)) == QuotaVerdict::kAsk);
 }
 
-TEST_CASE("the shared part of a balance is divided among the nodes where the customer asks") {
+TEST_CASE("the shared part of a balance is divided among the nodes that the customer uses") {
   QuotaAccount account(kBounds);
   account.Asked(kCustomer, kLimit, 0, At(0));
-  account.Heard(Word(60'000, 4, 0, 0), At(0));
-  // Half of a quarter goes to all alike, an eighth of it to each of four; the other half by what
-  // each is asked for, and this one is asked for all of it.
+  account.Heard(MakeSnapshot(60'000, 4, 0, 0), At(0));
+  // A quarter of the balance is shared. One half of it is divided equally among four nodes, the
+  // other half by demand, which is all on this node.
   account.Asked(kCustomer, kLimit, 1, At(0));
-  account.Heard(Word(60'000, 4, 0, 0), At(0));
+  account.Heard(MakeSnapshot(60'000, 4, 0, 0), At(0));
   std::uint64_t granted = 0;
   while (SpendOrAsk(account, 100, At(0)) == QuotaVerdict::kGranted) {
     granted += 100;
@@ -84,21 +87,21 @@
   CHECK(granted <= 9'400);
 }
 
-TEST_CASE("what a word does not take in yet is taken off its balance") {
+TEST_CASE("spending that is not included in a balance is deducted from it") {
   QuotaAccount account(kBounds);
   SpendAlone(account, kLimit, kRequest, At(0));
-  account.Heard(Word(4 * kRequest - 8, 1, 0, 0), At(0));
+  account.Heard(MakeSnapshot(4 * kRequest - 8, 1, 0, 0), At(0));
   CHECK(SpendAlone(account, kLimit, kRequest, At(0)));
-  auto later = std::make_shared<QuotaWord>(*Word(4 * kRequest, 1, 0, 1));
+  auto later = std::make_shared<QuotaWord>(*MakeSnapshot(4 * kRequest, 1, 0, 1));
   later->counted[kCustomer] = kRequest;
   account.Heard(later, At(1));
   CHECK(SpendOrAsk(account, kRequest, At(1)) == QuotaVerdict::kGranted);
 }
 
-TEST_CASE("over the limit the wait that is told is true") {
+TEST_CASE("the wait time of a refusal over the limit is accurate") {
   QuotaAccount account(kBounds);
   SpendAlone(account, kLimit, 60'000, At(0));
-  account.Heard(Word(0, 1, 100'000, 0), At(0));
+  account.Heard(MakeSnapshot(0, 1, 100'000, 0), At(0));
   const auto wait = SpendAlone(account, kLimit, kRequest, At(1'600));
   REQUIRE(wait);
   const int ms = 1'600 + static_cast<int>(wait->count());
@@ -106,35 +109,35 @@
   CHECK_FALSE(SpendAlone(account, kLimit, 0, At(ms + 1)));
 }
 
-TEST_CASE("words that stay away leave a node its share of the rate") {
+TEST_CASE("without further digests a node keeps its share of the rate") {
   QuotaAccount account(kBounds);
   account.Asked(kCustomer, kLimit, 0, At(0));
-  account.Heard(Word(0, 2, 0, 0), At(0));
+  account.Heard(MakeSnapshot(0, 2, 0, 0), At(0));
   std::uint64_t granted = 0;
   for (int ms = 2'000; ms < 12'000; ms += 10) {
     granted += SpendAlone(account, kLimit, 100, At(ms)) ? 0 : 100;
   }
-  // A quarter for one of two nodes that had asked for nothing: 87,000 in twelve seconds, less what
-  // stays unused before the first request for want of room.
+  // A quarter of the rate, for one of two nodes without demand: 87,000 in twelve seconds, less what
+  // exceeds the maximum balance before the first request.
   CHECK(granted >= 85'000);
   CHECK(granted <= 88'000);
 }
 
-TEST_CASE("refused requests give back what they took, and the rest is told once") {
+TEST_CASE("refused requests are refunded, and the remaining spending is reported once") {
   QuotaAccount account(kBounds);
   CHECK_FALSE(SpendAlone(account, kLimit, kRequest, At(0)));
   CHECK(SpendAlone(account, kLimit, kRequest, At(1)));
   account.GiveBack(kCustomer, kRequest);
   CHECK_FALSE(SpendAlone(account, kLimit, 500, At(2)));
-  const SpendingTable told = account.Take(At(3));
-  CHECK(told.at(kCustomer) == Spending{500, 2 * kRequest + 500, 1});
+  const SpendingTable reported = account.Take(At(3));
+  CHECK(reported.at(kCustomer) == Spending{500, 2 * kRequest + 500, 1});
   CHECK(account.Take(At(4)).at(kCustomer) == Spending{0, 0, 1});
   CHECK(account.Take(At(11'000)).empty());
 }
 
-TEST_CASE("a lower limit holds from the next request on") {
+TEST_CASE("a lower limit applies from the next request on") {
   QuotaAccount account(kBounds);
-  account.Heard(Word(900'000, 1, 0, 0), At(0));
+  account.Heard(MakeSnapshot(900'000, 1, 0, 0), At(0));
   QuotaLimit limit = kLimit;
   limit.per_second = 600'000;
   limit.burst = 600'000;
--- a/src/rudderloom/quota/quota_ledger.cpp
+++ b/src/rudderloom/quota/quota_ledger.cpp
@@ -11,9 +11,9 @@
   entries_.clear();
 }
 
-QuotaLedger::Entry& QuotaLedger::Open(CustomerKey customer,
-                                      const QuotaLimit& limit,
-                                      TimePoint now) {
+QuotaLedger::Entry& QuotaLedger::FindOrCreate(CustomerKey customer,
+                                              const QuotaLimit& limit,
+                                              TimePoint now) {
   const auto [found, is_new] = entries_.try_emplace(customer);
   Entry& entry = found->second;
   if (!is_new) {
@@ -21,36 +21,36 @@
   }
   if (const auto known = former_.balances.find(customer); known != former_.balances.end()) {
     entry.level = static_cast<double>(known->second.level);
-    entry.moved_at = former_.made_at;
+    entry.refilled_at = former_.made_at;
   } else {
     entry.level = UnknownLevel(unknown_, limit, bounds_, begun_at_, now);
-    entry.moved_at = now;
+    entry.refilled_at = now;
   }
   return entry;
 }
 
-// What was spent more than a window ago can't be too much any more.
+// The level is limited to one window's debt: earlier spending can't violate the bound any more.
 void QuotaLedger::Refill(Entry& entry, const QuotaLimit& limit, TimePoint now) const {
   const auto rate = static_cast<double>(limit.per_second);
-  const double seconds = std::chrono::duration<double>(now - entry.moved_at).count();
-  const double least = -rate * std::chrono::duration<double>(bounds_.window).count();
-  const auto most = static_cast<double>(MostAhead(limit, bounds_));
-  entry.level = std::clamp(entry.level + rate * std::max(0.0, seconds), least, most);
-  entry.moved_at = now;
+  const double seconds = std::chrono::duration<double>(now - entry.refilled_at).count();
+  const double min_level = -rate * std::chrono::duration<double>(bounds_.window).count();
+  const auto max_level = static_cast<double>(MostAhead(limit, bounds_));
+  entry.level = std::clamp(entry.level + rate * std::max(0.0, seconds), min_level, max_level);
+  entry.refilled_at = now;
 }
 
-void QuotaLedger::Move(const SpendingTable& told, const QuotaLimits& limits, TimePoint now) {
+void QuotaLedger::Move(const SpendingTable& reported, const QuotaLimits& limits, TimePoint now) {
   std::erase_if(entries_, [&](const auto& entry) { return !limits.contains(entry.first); });
-  for (const auto& [customer, spending] : told) {
+  for (const auto& [customer, spending] : reported) {
     if (const auto limit = limits.find(customer); limit != limits.end()) {
-      Open(customer, limit->second, now);
+      FindOrCreate(customer, limit->second, now);
     }
   }
   for (auto& [customer, entry] : entries_) {
     Refill(entry, limits.at(customer), now);
-    const auto found = told.find(customer);
-    entry.nodes = found == told.end() ? 0 : found->second.nodes;
-    if (found != told.end()) {
+    const auto found = reported.find(customer);
+    entry.nodes = found == reported.end() ? 0 : found->second.nodes;
+    if (found != reported.end()) {
       entry.level -= static_cast<double>(found->second.spent);
       entry.asked.Add(found->second.asked, now);
     }
@@ -60,7 +60,7 @@
 void QuotaLedger::Granted(const SpendAsk& granted, const QuotaLimits& limits, TimePoint now) {
   const auto limit = limits.find(granted.customer);
   if (limit != limits.end()) {
-    Open(granted.customer, limit->second, now).level -= static_cast<double>(granted.amount);
+    FindOrCreate(granted.customer, limit->second, now).level -= static_cast<double>(granted.amount);
   }
 }
 
--- a/src/rudderloom/quota/quota_ledger_test.cpp
+++ b/src/rudderloom/quota/quota_ledger_test.cpp
@@ -14,7 +14,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-SpendingTable Spent(std::int64_t amount) {
+SpendingTable MakeSpending(std::int64_t amount) {
   return {{kCustomer, {amount, 10, 2}}};
 }
 
@@ -22,10 +22,10 @@
   return ledger.Balances(At(ms)).at(kCustomer).level;
 }
 
-TEST_CASE("a balance fills with the rate up to the burst, and may be overdrawn") {
+TEST_CASE("a balance refills at the rate up to the burst and may be overdrawn") {
   QuotaLedger ledger(kBounds);
   ledger.Begin({}, UnknownBalance::kWhole, At(0));
-  ledger.Move(Spent(900), kLimits, At(0));
+  ledger.Move(MakeSpending(900), kLimits, At(0));
   CHECK(LevelOf(ledger, 0) == -400);
   ledger.Move({}, kLimits, At(600));
   CHECK(LevelOf(ledger, 600) == 200);
@@ -33,35 +33,35 @@
   CHECK(LevelOf(ledger, 5'000) == 500);
 }
 
-TEST_CASE("a new holder goes on from the last word, and gives nothing to whom it does not know") {
+TEST_CASE("a new holder continues from the last balances and starts unknown customers at zero") {
   QuotaLedger ledger(kBounds);
   ledger.Begin({{{kCustomer, {-300, 1, 0}}}, At(0)}, UnknownBalance::kEmpty, At(500));
-  ledger.Move(Spent(0), kLimits, At(500));
+  ledger.Move(MakeSpending(0), kLimits, At(500));
   CHECK(LevelOf(ledger, 500) == 200);
   ledger.Begin({}, UnknownBalance::kEmpty, At(500));
-  ledger.Move(Spent(0), kLimits, At(500));
+  ledger.Move(MakeSpending(0), kLimits, At(500));
   CHECK(LevelOf(ledger, 500) == 0);
 }
 
-TEST_CASE("what was spent more than a window ago is not held against a customer") {
+TEST_CASE("the debt of a customer is limited to one window") {
   QuotaLedger ledger(kBounds);
   ledger.Begin({}, UnknownBalance::kWhole, At(0));
-  ledger.Move(Spent(100'000), kLimits, At(0));
+  ledger.Move(MakeSpending(100'000), kLimits, At(0));
   ledger.Move({}, kLimits, At(1));
   CHECK(LevelOf(ledger, 1) >= -8'000);
 }
 
-TEST_CASE("a lowered limit caps a balance, and a customer without one is forgotten") {
+TEST_CASE("a lowered limit caps the balance, and a customer without a limit is removed") {
   QuotaLedger ledger(kBounds);
   ledger.Begin({}, UnknownBalance::kWhole, At(0));
-  ledger.Move(Spent(0), kLimits, At(0));
+  ledger.Move(MakeSpending(0), kLimits, At(0));
   ledger.Move({}, {{kCustomer, {QuotaUnit::kTokens, 10, 50, 200}}}, At(1));
   CHECK(LevelOf(ledger, 1) == 50);
   ledger.Move({}, {}, At(2));
   CHECK(ledger.Balances(At(2)).empty());
 }
 
-TEST_CASE("what is asked a second, and at how many nodes, is told with the balance") {
+TEST_CASE("a balance includes the demand per second and the number of nodes") {
   QuotaLedger ledger(kBounds);
   ledger.Begin({}, UnknownBalance::kWhole, At(0));
   for (int ms = 0; ms < 30'000; ms += 100) {
--- a/src/rudderloom/quota/quota_model_test.cpp
+++ b/src/rudderloom/quota/quota_model_test.cpp
@@ -1,5 +1,5 @@
-// All schedules of two faults over a small fleet whose callers send as much as they are let: what
-// runs within any window stays inside the bound. Drives the classes that the product runs.
+// Exhaustive model test: for all schedules of two faults in a small fleet with saturating callers,
+// the amount granted within any window stays within the bound. Uses the production classes.
 #include <doctest/doctest.h>  // for TEST_CASE
 #include <algorithm>          // for max
 #include <array>              // for array
@@ -23,15 +23,15 @@
 constexpr int kFirstFault = 4;
 constexpr int kLastFault = 36;
 constexpr int kWindowSteps = 8'000 / kStepMs;
-// Steps without a holder after one is gone.
-constexpr int kTakeover = 8;
+// Steps without a holder after its loss.
+constexpr int kTakeoverSteps = 8;
 
 enum class FaultKind {
-  kReportLost,  // of the node
-  kAnswerLost,  // of the node: its report arrived
-  kSilent,      // the node hears and tells nothing for eight steps
-  kKilled,      // the node starts again and knows nothing
-  kHolderGone,  // the next node takes over from what it has heard
+  kReportLost,  // report of the node
+  kAnswerLost,  // answer to the node: its report was delivered
+  kSilent,      // the node sends and receives nothing for eight steps
+  kKilled,      // the node restarts without state
+  kHolderGone,  // the next node takes over with the last balances it received
   kAllKilled,
 };
 
@@ -41,11 +41,11 @@
   FaultKind kind = FaultKind::kReportLost;
 };
 
-// Which of two limits holds.
+// A limit and the bounds on exceeding it.
 struct Setup {
   QuotaLimit limit;
   QuotaBounds bounds;
-  double BoundOfWindow() const {
+  double WindowBound() const {
     const double allowed =
         static_cast<double>(limit.per_second) * 8.0 + static_cast<double>(limit.burst);
     return allowed * (1.0 + bounds.overshoot) + bounds.slack;
@@ -63,15 +63,15 @@
     Begin(0, UnknownBalance::kWhole);
   }
 
-  // Most that ran within a window.
-  std::uint64_t Play(const std::vector<Fault>& faults) {
+  // Returns the maximum amount granted within any window.
+  std::uint64_t Run(const std::vector<Fault>& faults) {
     std::uint64_t most = 0;
     std::deque<std::uint64_t> window;
     std::uint64_t sum = 0;
     for (step_ = 0; step_ < kSteps; ++step_) {
       for (const Fault& fault : faults) {
         if (fault.step == step_) {
-          Strike(fault);
+          InjectFault(fault);
         }
       }
       window.push_back(Spend());
@@ -82,7 +82,7 @@
       }
       most = std::max(most, sum);
       Report(faults);
-      MoveHolder();
+      StepHolder();
     }
     return most;
   }
@@ -91,7 +91,7 @@
   struct Node {
     std::optional<QuotaAccount> account;
     std::optional<SpendingLog> log;
-    QuotaWordPtr word;
+    QuotaWordPtr snapshot;
     int silent_until = 0;
   };
 
@@ -100,15 +100,15 @@
   void Start(int node) {
     nodes_[static_cast<std::size_t>(node)] = Node();
     nodes_[static_cast<std::size_t>(node)].account.emplace(kSetup.bounds);
-    nodes_[static_cast<std::size_t>(node)].log.emplace(1'000 * ++lives_);
+    nodes_[static_cast<std::size_t>(node)].log.emplace(1'000 * ++incarnations_);
   }
 
   void Begin(int node, UnknownBalance unknown) {
     holder_ = node;
-    const QuotaWordPtr& word = nodes_[static_cast<std::size_t>(node)].word;
+    const QuotaWordPtr& snapshot = nodes_[static_cast<std::size_t>(node)].snapshot;
     FormerBalances former;
-    if (word) {
-      former = {word->balances, word->made_at};
+    if (snapshot) {
+      former = {snapshot->balances, snapshot->made_at};
     }
     ledger_.emplace(kSetup.bounds);
     ledger_->Begin(former, unknown, Now());
@@ -118,28 +118,28 @@
     published_.reset();
   }
 
-  void Strike(const Fault& fault) {
+  void InjectFault(const Fault& fault) {
     switch (fault.kind) {
       case FaultKind::kSilent:
-        nodes_[static_cast<std::size_t>(fault.node)].silent_until = step_ + kTakeover;
+        nodes_[static_cast<std::size_t>(fault.node)].silent_until = step_ + kTakeoverSteps;
         break;
       case FaultKind::kKilled:
         Start(fault.node);
         if (fault.node == holder_) {
-          Lose();
+          LoseHolder();
         }
         break;
       case FaultKind::kHolderGone:
         if (holder_ >= 0) {
           Start(holder_);
-          Lose();
+          LoseHolder();
         }
         break;
       case FaultKind::kAllKilled:
         for (int i = 0; i < kNodes; ++i) {
           Start(i);
         }
-        Lose();
+        LoseHolder();
         break;
       case FaultKind::kReportLost:
       case FaultKind::kAnswerLost:
@@ -147,24 +147,24 @@
     }
   }
 
-  void Lose() {
+  void LoseHolder() {
     next_holder_ = holder_ >= 0 ? (holder_ + 1) % kNodes : next_holder_;
     holder_ = -1;
-    taken_at_ = step_ + kTakeover;
+    takeover_step_ = step_ + kTakeoverSteps;
   }
 
   std::uint64_t Spend() {
     std::uint64_t spent = 0;
     for (int i = 0; i < kNodes; ++i) {
-      while (MayRun(i)) {
+      while (TryRequest(i)) {
         spent += kRequest;
       }
     }
     return spent;
   }
 
-  // As a node's traffic decides.
-  bool MayRun(int index) {
+  // Decides like the traffic thread of a node.
+  bool TryRequest(int index) {
     QuotaAccount& account = *nodes_[static_cast<std::size_t>(index)].account;
     account.Asked(kCustomer, kSetup.limit, kRequest, Now());
     const QuotaVerdict verdict =
@@ -184,8 +184,8 @@
   }
 
   SpendAnswer AskHolder(int index) {
-    const bool reached = holder_ >= 0 && published_ && (index == holder_ || !Silent(index)) &&
-                         (index == holder_ || !Silent(holder_));
+    const bool reached = holder_ >= 0 && published_ && (index == holder_ || !IsSilent(index)) &&
+                         (index == holder_ || !IsSilent(holder_));
     if (!reached) {
       return {};
     }
@@ -202,11 +202,11 @@
     return answer;
   }
 
-  bool Silent(int node) const {
+  bool IsSilent(int node) const {
     return nodes_[static_cast<std::size_t>(node)].silent_until > step_;
   }
 
-  bool Has(const std::vector<Fault>& faults, int node, FaultKind kind) const {
+  bool HasFault(const std::vector<Fault>& faults, int node, FaultKind kind) const {
     return std::any_of(faults.begin(), faults.end(), [&](const Fault& fault) {
       return fault.step == step_ && fault.node == node && fault.kind == kind;
     });
@@ -220,8 +220,8 @@
         continue;
       }
       const SpendingReport report = node.log->Take(Now());
-      const bool lost =
-          holder_ < 0 || Silent(i) || Silent(holder_) || Has(faults, i, FaultKind::kReportLost);
+      const bool lost = holder_ < 0 || IsSilent(i) || IsSilent(holder_) ||
+                        HasFault(faults, i, FaultKind::kReportLost);
       if (lost) {
         node.log->Failed(report.number);
         continue;
@@ -229,7 +229,7 @@
       SpendingLog& holder = *nodes_[static_cast<std::size_t>(holder_)].log;
       const auto counted = holder.ReportsCounted();
       holder.Counted(std::to_string(i), report.number, report.table, Now());
-      if (Has(faults, i, FaultKind::kAnswerLost)) {
+      if (HasFault(faults, i, FaultKind::kAnswerLost)) {
         node.log->Failed(report.number);
         continue;
       }
@@ -238,22 +238,22 @@
         node.log->Confirmed(found->second);
       }
       if (published_) {
-        Hear(node, *published_);
+        DeliverSnapshot(node, *published_);
       }
     }
   }
 
-  void Hear(Node& node, const QuotaWord& published) {
-    auto word = std::make_shared<QuotaWord>(published);
-    word->counted = node.log->OwnCounted();
-    node.word = word;
-    node.account->Heard(word, Now());
+  void DeliverSnapshot(Node& node, const QuotaWord& published) {
+    auto snapshot = std::make_shared<QuotaWord>(published);
+    snapshot->counted = node.log->OwnCounted();
+    node.snapshot = snapshot;
+    node.account->Heard(snapshot, Now());
   }
 
-  // The holder hears reports some steps after they were made: it answers with its last word.
-  void MoveHolder() {
+  // The holder processes reports after the answers were sent, so these carry its previous balances.
+  void StepHolder() {
     if (holder_ < 0) {
-      if (step_ >= taken_at_) {
+      if (step_ >= takeover_step_) {
         Begin(next_holder_, UnknownBalance::kEmpty);
       }
       return;
@@ -269,20 +269,20 @@
     node.log->Arrived(report.number);
     node.log->Confirmed(report.number);
     published_ = QuotaWord{Now(), ledger_->Balances(Now()), {}};
-    Hear(node, *published_);
+    DeliverSnapshot(node, *published_);
   }
 
   std::array<Node, kNodes> nodes_;
   std::optional<QuotaLedger> ledger_;
   std::optional<QuotaWord> published_;
   std::optional<GrantBook> grants_;
-  std::vector<SpendGrant> granted_;  // on their way from the book to the ledger
+  std::vector<SpendGrant> granted_;  // in transit from the book to the ledger
   std::uint64_t grants_counted_ = 0;
   int holder_ = 0;
   int next_holder_ = 1;
-  int taken_at_ = 0;
+  int takeover_step_ = 0;
   int step_ = 0;
-  std::uint64_t lives_ = 0;
+  std::uint64_t incarnations_ = 0;
 };
 
 std::vector<Fault> AllFaults(int every) {
@@ -300,26 +300,26 @@
   return faults;
 }
 
-TEST_CASE("a customer that sends all it can gets its rate, and no more than the bound") {
-  const auto most = static_cast<double>(Model().Play({}));
-  MESSAGE("most in a window: ", most, " of ", kSetup.BoundOfWindow());
-  CHECK(most <= kSetup.BoundOfWindow());
+TEST_CASE("a saturating customer gets its rate and no more than the bound") {
+  const auto most = static_cast<double>(Model().Run({}));
+  MESSAGE("most in a window: ", most, " of ", kSetup.WindowBound());
+  CHECK(most <= kSetup.WindowBound());
   CHECK(most >= 8'000.0);
 }
 
-TEST_CASE("no schedule of two faults lets more run than the bound") {
+TEST_CASE("no schedule of two faults exceeds the bound") {
   const std::vector<Fault> faults = AllFaults(1);
   std::uint64_t most = 0;
   std::size_t schedules = 0;
   for (std::size_t i = 0; i < faults.size(); ++i) {
     for (std::size_t j = i; j < faults.size(); ++j) {
-      const std::uint64_t ran = Model().Play({faults[i], faults[j]});
+      const std::uint64_t ran = Model().Run({faults[i], faults[j]});
       most = std::max(most, ran);
       ++schedules;
     }
   }
-  MESSAGE("schedules: ", schedules, ", most in a window: ", most, " of ", kSetup.BoundOfWindow());
-  CHECK(static_cast<double>(most) <= kSetup.BoundOfWindow());
+  MESSAGE("schedules: ", schedules, ", most in a window: ", most, " of ", kSetup.WindowBound());
+  CHECK(static_cast<double>(most) <= kSetup.WindowBound());
 }
 
 }  // namespace
--- a/src/rudderloom/quota/spending.cpp
+++ b/src/rudderloom/quota/spending.cpp
@@ -7,10 +7,10 @@
 
 namespace {
 
-// Part of what the bounds let a customer go over its limit that it may spend ahead.
-constexpr double kAheadPart = 0.25;
-// Long enough for a customer that sends a request a second to be seen as steady.
-constexpr double kFadeSeconds = 5.0;
+// Fraction of the allowed overshoot that is added to the maximum balance.
+constexpr double kOvershootFraction = 0.25;
+// Long enough for a customer with one request per second to appear steady.
+constexpr double kDecaySeconds = 5.0;
 
 double Seconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
@@ -21,8 +21,8 @@
 std::int64_t MostAhead(const QuotaLimit& limit, const QuotaBounds& bounds) {
   const auto burst = static_cast<double>(limit.burst);
   const double allowed = static_cast<double>(limit.per_second) * Seconds(bounds.window) + burst;
-  return static_cast<std::int64_t>(burst +
-                                   kAheadPart * (bounds.overshoot * allowed + bounds.slack));
+  return static_cast<std::int64_t>(burst + kOvershootFraction *
+                                               (bounds.overshoot * allowed + bounds.slack));
 }
 
 double UnknownLevel(UnknownBalance unknown,
@@ -31,13 +31,13 @@
                     TimePoint since,
                     TimePoint now) {
   constexpr double kQuarter = 0.25;
-  const auto most = static_cast<double>(MostAhead(limit, bounds));
+  const auto max_level = static_cast<double>(MostAhead(limit, bounds));
   if (unknown == UnknownBalance::kWhole) {
-    return most;
+    return max_level;
   }
   const double seconds = std::max(0.0, std::chrono::duration<double>(now - since).count());
-  const double level = unknown == UnknownBalance::kQuarter ? kQuarter * most : 0.0;
-  return std::min(most, level + static_cast<double>(limit.per_second) * seconds);
+  const double level = unknown == UnknownBalance::kQuarter ? kQuarter * max_level : 0.0;
+  return std::min(max_level, level + static_cast<double>(limit.per_second) * seconds);
 }
 
 void AddUntold(const SpendingTable& earlier, SpendingTable& newer) {
@@ -49,13 +49,13 @@
 }
 
 void FadingRate::Add(std::uint64_t amount, TimePoint now) {
-  sum_ = PerSecond(now) * kFadeSeconds + static_cast<double>(amount);
-  faded_at_ = now;
+  sum_ = PerSecond(now) * kDecaySeconds + static_cast<double>(amount);
+  decayed_at_ = now;
 }
 
 double FadingRate::PerSecond(TimePoint now) const {
-  const double seconds = std::chrono::duration<double>(now - faded_at_).count();
-  return sum_ / kFadeSeconds * std::exp(-seconds / kFadeSeconds);
+  const double seconds = std::chrono::duration<double>(now - decayed_at_).count();
+  return sum_ / kDecaySeconds * std::exp(-seconds / kDecaySeconds);
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/quota/spending_log.cpp
+++ b/src/rudderloom/quota/spending_log.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// A member that has not reported for so long asks by another way, or is gone.
-constexpr Duration kMemberFresh{2'000};
-// What arrived somewhere and was not confirmed within this time went by a node whose word comes no
-// longer: it is in the balance by now, or was lost with that node.
-constexpr Duration kSettledAfter{3'000};
+// A member without reports for this time uses another upstream node, or is gone.
+constexpr Duration kMemberTimeout{2'000};
+// A delivered report that is not confirmed within this time went to a node that sends no more
+// digests: it is included in the balance by now, or was lost with that node.
+constexpr Duration kConfirmTimeout{3'000};
 
 }  // namespace
 
@@ -25,17 +25,17 @@
 
 void SpendingLog::Counted(const std::string& node,
                           std::uint64_t number,
-                          const SpendingTable& told,
+                          const SpendingTable& reported,
                           TimePoint now) {
-  AddUntold(told, pending_);
+  AddUntold(reported, pending_);
   pending_reports_[node] = number;
-  members_[node] = {told, now};
+  members_[node] = {reported, now};
 }
 
 SpendingReport SpendingLog::Take(TimePoint now) {
-  SettleOld(now);
+  MarkExpiredCounted(now);
   std::erase_if(members_,
-                [&](const auto& member) { return now - member.second.heard_at > kMemberFresh; });
+                [&](const auto& member) { return now - member.second.heard_at > kMemberTimeout; });
   SpendingReport report;
   report.number = next_number_++;
   report.table = std::exchange(pending_, {});
@@ -80,16 +80,16 @@
 }
 
 void SpendingLog::Confirmed(std::uint64_t number) {
-  // A number of another life of this node is none of its reports.
+  // Ignore report numbers of an earlier process of this node.
   const bool known = std::any_of(sent_.begin(), sent_.end(),
                                  [&](const Sent& sent) { return sent.number == number; });
   while (known && !sent_.empty() && sent_.front().number <= number) {
-    Settle(sent_.front());
+    MarkCounted(sent_.front());
     sent_.pop_front();
   }
 }
 
-void SpendingLog::Settle(const Sent& sent) {
+void SpendingLog::MarkCounted(const Sent& sent) {
   for (const auto& [customer, spent] : sent.own) {
     own_counted_[customer] += spent;
   }
@@ -98,9 +98,10 @@
   }
 }
 
-void SpendingLog::SettleOld(TimePoint now) {
-  while (!sent_.empty() && sent_.front().arrived && now - sent_.front().taken_at > kSettledAfter) {
-    Settle(sent_.front());
+void SpendingLog::MarkExpiredCounted(TimePoint now) {
+  while (!sent_.empty() && sent_.front().arrived &&
+         now - sent_.front().taken_at > kConfirmTimeout) {
+    MarkCounted(sent_.front());
     sent_.pop_front();
   }
 }
--- a/src/rudderloom/quota/spending_log_test.cpp
+++ b/src/rudderloom/quota/spending_log_test.cpp
@@ -11,7 +11,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-SpendingTable Spent(std::int64_t amount) {
+SpendingTable MakeSpending(std::int64_t amount) {
   return {{kCustomer, {amount, static_cast<std::uint64_t>(amount), 1}}};
 }
 
@@ -21,53 +21,53 @@
   return found == table.end() ? 0 : found->second.spent;
 }
 
-TEST_CASE("what is told once is not told again, and what did not arrive is") {
+TEST_CASE("delivered spending is not sent again, failed reports are") {
   SpendingLog log(1);
-  log.CountedSelf(Spent(10));
+  log.CountedSelf(MakeSpending(10));
   CHECK(log.Take(At(0)).table.at(kCustomer).spent == 10);
   CHECK(TakeSpent(log, 1) == 0);
-  log.CountedSelf(Spent(5));
+  log.CountedSelf(MakeSpending(5));
   const SpendingReport third = log.Take(At(2));
   CHECK(third.table.at(kCustomer).spent == 5);
   log.Arrived(third.number - 1);
   log.Failed(third.number);
-  // The first two had arrived.
+  // The first two were delivered.
   CHECK(TakeSpent(log, 3) == 5);
 }
 
-TEST_CASE("a report that was replaced on its way is told with the one that failed after it") {
+TEST_CASE("an undelivered report is sent again when a later one fails") {
   SpendingLog log(1);
-  log.CountedSelf(Spent(10));
+  log.CountedSelf(MakeSpending(10));
   log.Take(At(0));
-  log.CountedSelf(Spent(5));
+  log.CountedSelf(MakeSpending(5));
   const SpendingReport second = log.Take(At(1));
   log.Failed(second.number);
   CHECK(TakeSpent(log, 2) == 15);
 }
 
-TEST_CASE("own spending counts as taken in once the holder's balances take in its report") {
+TEST_CASE("own spending counts as included once the holder confirms its report") {
   SpendingLog log(100);
-  log.CountedSelf(Spent(10));
+  log.CountedSelf(MakeSpending(10));
   const SpendingReport first = log.Take(At(0));
   log.Arrived(first.number);
   CHECK(log.OwnCounted().empty());
-  log.Confirmed(17);  // of another life
+  log.Confirmed(17);  // of an earlier process
   CHECK(log.OwnCounted().empty());
   log.Confirmed(first.number);
   CHECK(log.OwnCounted().at(kCustomer) == 10);
 }
 
-TEST_CASE("a relay confirms a member's report when the holder has taken in its own") {
+TEST_CASE("a relay confirms a member's report after the holder has confirmed its own") {
   SpendingLog relay(1);
-  relay.CountedSelf(Spent(1));
-  relay.Counted("m", 40, Spent(10), At(0));
+  relay.CountedSelf(MakeSpending(1));
+  relay.Counted("m", 40, MakeSpending(10), At(0));
   const SpendingReport first = relay.Take(At(1));
   CHECK(first.table.at(kCustomer) == Spending{11, 11, 2});
-  relay.Counted("m", 41, Spent(3), At(2));
+  relay.Counted("m", 41, MakeSpending(3), At(2));
   relay.Arrived(first.number);
   relay.Confirmed(first.number);
   CHECK(relay.ReportsCounted().at("m") == 40);
-  // The member's own amounts are none of the relay's.
+  // The member's spending is not part of the relay's own.
   CHECK(relay.OwnCounted().at(kCustomer) == 1);
   const SpendingReport second = relay.Take(At(3));
   CHECK(second.table.at(kCustomer).spent == 3);
@@ -75,9 +75,9 @@
   CHECK(relay.ReportsCounted().at("m") == 41);
 }
 
-TEST_CASE("what arrived and is never confirmed is taken for counted after a while") {
+TEST_CASE("a delivered report without confirmation counts as included after a timeout") {
   SpendingLog log(1);
-  log.CountedSelf(Spent(10));
+  log.CountedSelf(MakeSpending(10));
   log.Arrived(log.Take(At(0)).number);
   log.Take(At(2'000));
   CHECK(log.OwnCounted().empty());
@@ -85,10 +85,10 @@
   CHECK(log.OwnCounted().at(kCustomer) == 10);
 }
 
-TEST_CASE("a member that falls silent no longer counts as one where customers ask") {
+TEST_CASE("a silent member no longer counts as a node that customers use") {
   SpendingLog relay(1);
-  relay.CountedSelf(Spent(1));
-  relay.Counted("m", 40, Spent(10), At(0));
+  relay.CountedSelf(MakeSpending(1));
+  relay.Counted("m", 40, MakeSpending(10), At(0));
   CHECK(relay.Take(At(0)).table.at(kCustomer).nodes == 2);
   CHECK(relay.Take(At(2'500)).table.at(kCustomer).nodes == 1);
 }
