--- a/include/rudderloom/quarantine/crash_book.hpp
+++ b/include/rudderloom/quarantine/crash_book.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which requests crash the endpoints that run them, over all nodes.
+/// Fleet-wide detection of requests that crash endpoints.
 #ifndef RUDDERLOOM_QUARANTINE_CRASH_BOOK_HPP
 #define RUDDERLOOM_QUARANTINE_CRASH_BOOK_HPP
 
@@ -11,71 +11,71 @@
 
 namespace rudderloom {
 
-/// @brief Endpoints that must end under a request before it is held back. The least number that an
-/// innocent request rarely meets: it is tried two to four times by its node and its client
-/// together.
+/// @brief Number of endpoint crashes after which a request is quarantined. This is the lowest
+/// number that a harmless request rarely reaches: node and client together try it two to four
+/// times.
 /// @ingroup quarantine
 inline constexpr std::size_t kCrashesToQuarantine = 3;
 
-/// @brief Counts endpoints that ended under each request, and quarantines requests that end them.
-/// Pure; time is passed in.
+/// @brief Counts endpoint crashes per request and quarantines the requests that cause them. Does no
+/// I/O; time is passed in.
 ///
-/// One endpoint's end makes all requests that it ran suspects, and one of them the cause. Those
-/// under which most endpoints have ended are taken for causes first, and explain these ends; what
-/// is left unexplained counts against the others. So the order in which news come matters to
-/// nobody, and a request that was beside the cause three times is let go once the cause has met a
-/// fourth end. One that any endpoint has answered whole is no suspect any more. The holder of the
-/// lease keeps the book that counts; every other node has its last word of it and adds what it has
-/// seen itself.
+/// When an endpoint crashes, all requests that it ran become suspects, one of them the cause. The
+/// suspects with the most crashes are considered causes first, and explain their crashes. Only
+/// unexplained crashes count against the others. The result thus does not depend on the order of
+/// the reports, and a request that ran beside the cause in three crashes is released after the
+/// cause's fourth crash. A request that any endpoint has answered completely is no suspect any
+/// more. The lease holder's book is authoritative; all other nodes have a copy, to which they add
+/// their own observations.
 /// @ingroup quarantine
 class CrashBook {
  public:
-  /// @brief Takes what a node has seen; true when that changed the book.
+  /// @brief Adds the observations of a node; returns true if the book changed.
   bool Take(const CrashNews& news, TimePoint now);
 
-  /// @brief Replaces everything by the holder's word; true when that changed the book.
+  /// @brief Replaces the contents by the holder's entries; returns true if the book changed.
   bool Replace(const std::vector<SuspectEntry>& entries, TimePoint now);
 
-  /// @brief Takes in what was in quarantine under an earlier holder.
+  /// @brief Restores the requests that were quarantined under an earlier holder.
   void Restore(const std::set<RequestDigest>& quarantined, TimePoint now);
 
-  /// @brief Forgets what is long over; true when that changed the book.
+  /// @brief Removes expired entries; returns true if the book changed.
   bool Expire(TimePoint now);
 
-  /// @brief What other nodes are told. At most `kMostTold` entries, the latest first.
+  /// @brief Returns the entries for other nodes: at most `kMaxPublished`, the latest first.
   std::vector<SuspectEntry> Told(TimePoint now) const;
 
-  /// @brief The same for traffic.
+  /// @brief Returns the same entries for the traffic thread.
   QuarantineList List() const;
 
-  /// @brief Requests in quarantine, the latest `most` of them.
-  std::set<RequestDigest> Quarantined(std::size_t most) const;
+  /// @brief Returns the latest `max_count` quarantined requests.
+  std::set<RequestDigest> Quarantined(std::size_t max_count) const;
 
   bool Empty() const { return suspects_.empty(); }
 
  private:
   struct Suspect {
     std::set<EndpointKey> endpoints;
-    TimePoint last_end;
+    TimePoint last_crash_at;
     bool quarantined = false;
     bool held_before = false;
-    std::size_t unexplained = 0;  // ends that no other request in quarantine explains
+    std::size_t unexplained = 0;  // crashes not explained by another quarantined request
 
-    std::size_t Needed() const { return held_before ? 1 : kCrashesToQuarantine; }
-    // One more end could bring it into quarantine. Besides these, only the holder keeps any.
-    bool Close() const { return !quarantined && unexplained + 1 >= Needed(); }
+    std::size_t Threshold() const { return held_before ? 1 : kCrashesToQuarantine; }
+    // One more crash could quarantine it. Only the holder has suspects with fewer crashes.
+    bool NearThreshold() const { return !quarantined && unexplained + 1 >= Threshold(); }
   };
   using Entry = std::pair<const RequestDigest, Suspect>;
 
   bool Clear(const RequestDigest& request, TimePoint now);
   bool Add(const RequestCrash& crash, TimePoint now);
-  void Settle();
-  std::size_t MostUnexplained(const std::set<EndpointKey>& explained);
-  void MakeRoom();
-  std::vector<const Entry*> LatestTold(std::size_t most) const;
+  void UpdateQuarantine();
+  std::size_t MaxUnexplained(const std::set<EndpointKey>& explained);
+  void EvictSuspects();
+  std::vector<const Entry*> LatestEntries(std::size_t max_count) const;
 
   std::map<RequestDigest, Suspect> suspects_;
-  std::map<RequestCrash, TimePoint> cleared_;  // told again for a while: they count no more
+  std::map<RequestCrash, TimePoint> cleared_;  // still reported for a while, but ignored
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/quarantine/crash_news.hpp
+++ b/include/rudderloom/quarantine/crash_news.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What nodes tell each other of requests under which endpoints have ended.
+/// Crash reports that nodes exchange about requests and endpoints.
 #ifndef RUDDERLOOM_QUARANTINE_CRASH_NEWS_HPP
 #define RUDDERLOOM_QUARANTINE_CRASH_NEWS_HPP
 
@@ -14,60 +14,62 @@
 
 namespace rudderloom {
 
-/// @brief A request was under way at an endpoint whose process ended. It need not be the cause.
+/// @brief A request that was in flight on an endpoint when its process crashed; not necessarily the
+/// cause.
 /// @ingroup quarantine
 struct RequestCrash {
   RequestDigest request;
-  EndpointKey endpoint = 0;  ///< One life of it.
+  EndpointKey endpoint = 0;  ///< One incarnation of it.
   bool operator==(const RequestCrash&) const = default;
   bool operator<(const RequestCrash& other) const {
     return endpoint != other.endpoint ? endpoint < other.endpoint : request < other.request;
   }
 };
 
-/// @brief What a node, or a group of nodes, has lately seen. Telling it twice changes nothing.
+/// @brief Recent observations of a node or a group of nodes. Processing them is idempotent.
 /// @ingroup quarantine
 struct CrashNews {
   std::set<RequestCrash> crashes;
-  std::set<RequestDigest> cleared;  ///< Answered whole by an endpoint, or cleared by an operator.
+  std::set<RequestDigest>
+      cleared;  ///< Answered completely by an endpoint, or cleared by an operator.
 
   bool Empty() const { return crashes.empty() && cleared.empty(); }
   bool operator==(const CrashNews&) const = default;
 };
 
-/// @brief Adds earlier news to newer ones, up to what one report may carry.
+/// @brief Adds earlier reports to newer ones, up to the maximum size of one message.
 /// @ingroup quarantine
 void AddNews(const CrashNews& earlier, CrashNews& newer);
 
-/// @brief What the holder of the lease knows of one request.
+/// @brief The lease holder's record of one suspect request.
 /// @ingroup quarantine
 struct SuspectEntry {
   RequestDigest request;
-  std::set<EndpointKey> endpoints;  ///< That ended under it.
-  bool held_before = false;  ///< It is in quarantine, or has been until another one explained it.
-  Duration age{0};           ///< Since the last of them ended.
+  std::set<EndpointKey> endpoints;  ///< Endpoints that crashed while running it.
+  bool held_before = false;         ///< Quarantined now, or until another request explained it.
+  Duration age{0};                  ///< Since the last of these crashes.
   bool operator==(const SuspectEntry&) const = default;
 };
 
-/// @brief The holder's list as other nodes hear it: requests in quarantine, and those that one more
-/// end could bring there.
+/// @brief The holder's list as sent to other nodes: quarantined requests, and those that one more
+/// crash could quarantine.
 /// @ingroup quarantine
 struct QuarantineTable {
-  std::uint64_t version = 0;  ///< Differs whenever the entries do; 0: there are none.
+  std::uint64_t version = 0;  ///< Changes with the entries; 0 if there are none.
   std::vector<SuspectEntry> entries;
 };
 
-/// @brief The same list as traffic looks requests up in it.
+/// @brief The same list for lookups by the traffic thread.
 /// @ingroup quarantine
 struct QuarantineList {
-  std::set<RequestDigest> quarantined;  ///< Sent to no endpoint.
-  std::set<RequestDigest> suspects;     ///< Not repeated by a node of its own accord.
+  std::set<RequestDigest> quarantined;  ///< Not sent to any endpoint.
+  std::set<RequestDigest> suspects;     ///< Not retried by nodes.
 
   bool Empty() const { return quarantined.empty() && suspects.empty(); }
   bool operator==(const QuarantineList&) const = default;
 };
 
-/// @brief Null: empty. Nobody changes a published one.
+/// @brief Null if empty. Immutable once published.
 /// @ingroup quarantine
 using QuarantineListPtr = std::shared_ptr<const QuarantineList>;
 
--- a/include/rudderloom/quarantine/crash_watch.hpp
+++ b/include/rudderloom/quarantine/crash_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tells connections that broke because their endpoint ended from all others, at one node.
+/// Detects on one node whether connections failed because their endpoint crashed.
 #ifndef RUDDERLOOM_QUARANTINE_CRASH_WATCH_HPP
 #define RUDDERLOOM_QUARANTINE_CRASH_WATCH_HPP
 
@@ -15,63 +15,64 @@
 
 namespace rudderloom {
 
-/// @brief How long an endpoint's machine may take to answer whether the endpoint still listens. One
-/// that is there takes some milliseconds.
+/// @brief Timeout of the probe whether an endpoint still listens. A machine that is up answers
+/// within some milliseconds.
 /// @ingroup quarantine
 constexpr Duration kListeningAnswer{200};
 
-/// @brief Collects which requests were under way at an endpoint when its process ended. Pure; time
-/// is passed in.
+/// @brief Collects the requests that were in flight on an endpoint when its process crashed. Does
+/// no I/O; time is passed in.
 ///
-/// A broken connection alone says nothing: resets, faulty answers and full endpoints break them
-/// too. An endpoint has ended when, about then, its machine answers that no process listens at its
-/// address. A machine that doesn't answer at all has lost its power or its link, together with
-/// others, and nothing of that is a request's doing. Nor is an end counted against a request that
-/// was sent after the endpoint's first connection broke, or that this node has lately seen answered
-/// whole: one that many callers send alike shares the end of every endpoint.
+/// A failed connection alone proves nothing: resets, faulty answers and overloaded endpoints cause
+/// it too. An endpoint has crashed if, at about the same time, its machine answers that no process
+/// listens at the address. A machine that doesn't answer at all has lost power or its link, usually
+/// along with others, which no request causes. A crash does not count against requests that were
+/// sent after the endpoint's first connection failure, nor against those that this node has
+/// recently seen answered completely: a request that many callers send is in flight in every
+/// crash.
 /// @ingroup quarantine
 class CrashWatch {
  public:
-  /// @brief The endpoint's connection broke under a request.
-  /// @return True when it should be asked whether it still listens; once for many requests.
+  /// @brief Records that a connection to the endpoint failed during a request.
+  /// @return True if the endpoint should be probed; once for many requests.
   bool Broke(const std::string& instance,
              const RequestDigest& request,
              TimePoint sent_at,
              TimePoint now);
 
-  /// @brief No process listens at the endpoint's address.
+  /// @brief Records that no process listens at the endpoint's address.
   void Ended(const std::string& instance, TimePoint now);
 
-  /// @brief An endpoint has answered the request whole.
-  /// @param list What the fleet holds against requests; null: nothing.
+  /// @brief Records that an endpoint has answered the request completely.
+  /// @param list The fleet's suspect and quarantined requests; null if there are none.
   void Answered(const RequestDigest& request, const QuarantineListPtr& list);
 
-  /// @brief An operator lets the request go.
+  /// @brief Records that an operator has cleared the request.
   void Cleared(const RequestDigest& request) { news_.cleared.insert(request); }
 
-  /// @brief True when there is something to tell.
+  /// @brief Returns true if there is something to report.
   bool HasNews() const { return !news_.Empty(); }
 
-  /// @brief What has been seen since the last call.
+  /// @brief Returns the observations since the last call.
   CrashNews Take();
 
-  /// @brief Forgets what is over.
+  /// @brief Removes expired state.
   void Trim(TimePoint now);
 
  private:
-  // Since the first of its connections broke; forgotten after a while.
+  // Created at an endpoint's first connection failure; expires after a while.
   struct Endpoint {
-    TimePoint first_broke_at;
-    std::vector<RequestDigest> broke;
-    bool ended = false;
-    std::optional<TimePoint> asked_at;
+    TimePoint first_failure_at;
+    std::vector<RequestDigest> failed_requests;
+    bool crashed = false;
+    std::optional<TimePoint> probed_at;
   };
 
-  bool Survived(const RequestDigest& request) const { return answered_.contains(request); }
+  bool RecentlyAnswered(const RequestDigest& request) const { return answered_.contains(request); }
 
   std::map<std::string, Endpoint> endpoints_;  // by instance
-  std::set<RequestDigest> answered_;           // lately
-  std::deque<RequestDigest> answered_order_;   // the oldest first
+  std::set<RequestDigest> answered_;           // recently
+  std::deque<RequestDigest> answered_order_;   // oldest first
   CrashNews news_;
 };
 
--- a/include/rudderloom/quarantine/news_log.hpp
+++ b/include/rudderloom/quarantine/news_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// News of crashes on their way to the holder of the lease.
+/// Crash observations that are being reported to the lease holder.
 #ifndef RUDDERLOOM_QUARANTINE_NEWS_LOG_HPP
 #define RUDDERLOOM_QUARANTINE_NEWS_LOG_HPP
 
@@ -10,24 +10,24 @@
 
 namespace rudderloom {
 
-/// @brief Keeps news for as long as they are to be told with each report, so that they also reach a
-/// holder that takes the lease in the meantime. Pure; time is passed in.
+/// @brief Keeps observations while they are repeated in each report, so that they also reach a
+/// holder that acquires the lease in the meantime. Does no I/O; time is passed in.
 /// @ingroup quarantine
 class NewsLog {
  public:
-  /// @brief Takes news; false when all of them are being told already.
+  /// @brief Adds observations; returns false if all of them are already being reported.
   bool Add(const CrashNews& news, TimePoint now);
 
-  /// @brief Everything that is to be told now.
+  /// @brief Returns everything to report at `now`.
   CrashNews Current(TimePoint now);
 
  private:
-  struct Told {
+  struct Entry {
     CrashNews news;
     TimePoint since;
   };
 
-  std::deque<Told> told_;
+  std::deque<Entry> entries_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/quarantine/request_digest.hpp
+++ b/include/rudderloom/quarantine/request_digest.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a request is known by when it comes again, at any node and under any id.
+/// Digest that identifies repeated requests on all nodes, regardless of their ids.
 #ifndef RUDDERLOOM_QUARANTINE_REQUEST_DIGEST_HPP
 #define RUDDERLOOM_QUARANTINE_REQUEST_DIGEST_HPP
 
@@ -11,7 +11,8 @@
 
 namespace rudderloom {
 
-/// @brief What two tries of one request have in common. Ids, deadlines and other headers differ.
+/// @brief The parts of a request that are equal in all its tries. Ids, deadlines and other headers
+/// differ.
 /// @ingroup quarantine
 struct RequestIdentity {
   std::string_view host;
@@ -20,11 +21,12 @@
   std::string_view body;
 };
 
-/// @brief Bytes of a request's digest: two of 2^40 requests meet with a chance of 2^-49.
+/// @brief Size of a request's digest in bytes. The probability that any two of 2^40 requests
+/// collide is 2^-49.
 /// @ingroup quarantine
 inline constexpr std::size_t kRequestDigestBytes = 16;
 
-/// @brief Stands for a request, the same on all nodes. Nobody can tell a body from it.
+/// @brief Identifies a request, equal on all nodes. The body can't be derived from it.
 /// @ingroup quarantine
 struct RequestDigest {
   std::array<std::uint8_t, kRequestDigestBytes> bytes{};
@@ -32,15 +34,15 @@
   bool operator<(const RequestDigest& other) const { return bytes < other.bytes; }
 };
 
-/// @brief The digest of a request; reads its whole body once.
+/// @brief Returns the digest of a request; reads its complete body once.
 /// @ingroup quarantine
 RequestDigest DigestOf(const RequestIdentity& identity);
 
-/// @brief All digits, for logs and operators.
+/// @brief Returns all hex digits, for logs and operators.
 /// @ingroup quarantine
 std::string TextOf(const RequestDigest& digest);
 
-/// @brief Reads them; empty when they are none.
+/// @brief Parses hex digits; empty if invalid.
 /// @ingroup quarantine
 std::optional<RequestDigest> RequestDigestFromText(std::string_view text);
 
--- a/src/rudderloom/quarantine/crash_book.cpp
+++ b/src/rudderloom/quarantine/crash_book.cpp
@@ -8,21 +8,22 @@
 
 namespace {
 
-// Entries of some 150 bytes each; a rack's end brings some hundreds.
-constexpr std::size_t kMostSuspects = 2'048;
-// Some 40 bytes each: 10 KB to a node when the list changes, at the very most.
-constexpr std::size_t kMostTold = 256;
-// Ends that one request explains: enough for all that ran it at the same moment.
-constexpr std::size_t kMostEndpoints = 64;
-// A request whose endpoints were mended, or that was held back for what it did not do, is tried
-// again after this time. One more end brings it back, so it costs an endpoint an hour at most.
+// Entries of some 150 bytes each; the failure of a rack adds some hundreds.
+constexpr std::size_t kMaxSuspects = 2'048;
+// Some 40 bytes each: at most 10 KB per node when the list changes.
+constexpr std::size_t kMaxPublished = 256;
+// Crashes that one request explains: enough for all endpoints that ran it at the same time.
+constexpr std::size_t kMaxEndpointsPerRequest = 64;
+// After this time a request is tried again: its endpoints may have been fixed, or it was
+// quarantined wrongly. One more crash quarantines it again, so it costs at most one endpoint per
+// hour.
 constexpr Duration kQuarantineTime{3'600'000};
-constexpr Duration kSuspectTime{3'600'000};
-// Longer than nodes go on telling of a crash.
-constexpr Duration kClearedTime{10'000};
+constexpr Duration kSuspectRetention{3'600'000};
+// Longer than nodes repeat the report of a crash.
+constexpr Duration kClearedRetention{10'000};
 
-// Stands for an end that nobody remembers, and that no other request explains.
-EndpointKey MadeUpEnd(const RequestDigest& request, std::size_t number) {
+// Placeholder for a crash whose endpoint is no longer known; no other request explains it.
+EndpointKey PlaceholderEndpoint(const RequestDigest& request, std::size_t number) {
   EndpointKey key = 0;
   std::memcpy(&key, request.bytes.data() + number * sizeof(key), sizeof(key));
   return key;
@@ -42,8 +43,8 @@
     }
   }
   if (changed) {
-    Settle();
-    MakeRoom();
+    UpdateQuarantine();
+    EvictSuspects();
   }
   return changed;
 }
@@ -62,22 +63,22 @@
 
 bool CrashBook::Add(const RequestCrash& crash, TimePoint now) {
   const auto cleared = cleared_.find(crash);
-  if (cleared != cleared_.end() && now - cleared->second < kClearedTime) {
+  if (cleared != cleared_.end() && now - cleared->second < kClearedRetention) {
     return false;
   }
   Suspect& suspect = suspects_[crash.request];
-  if (suspect.endpoints.size() >= kMostEndpoints) {
+  if (suspect.endpoints.size() >= kMaxEndpointsPerRequest) {
     return false;
   }
   const bool is_new = suspect.endpoints.insert(crash.endpoint).second;
-  suspect.last_end = is_new ? now : suspect.last_end;
+  suspect.last_crash_at = is_new ? now : suspect.last_crash_at;
   return is_new;
 }
 
-// Counts what is left to explain; gives the largest count that is enough for quarantine, 0 for
-// none.
-std::size_t CrashBook::MostUnexplained(const std::set<EndpointKey>& explained) {
-  std::size_t most = 0;
+// Updates the unexplained crashes of all suspects. Returns the largest number that reaches its
+// threshold for quarantine, or 0 if there is none.
+std::size_t CrashBook::MaxUnexplained(const std::set<EndpointKey>& explained) {
+  std::size_t max_count = 0;
   for (auto& [request, suspect] : suspects_) {
     if (suspect.quarantined) {
       continue;
@@ -85,24 +86,24 @@
     suspect.unexplained = static_cast<std::size_t>(
         std::count_if(suspect.endpoints.begin(), suspect.endpoints.end(),
                       [&](EndpointKey endpoint) { return !explained.contains(endpoint); }));
-    if (suspect.unexplained >= suspect.Needed()) {
-      most = std::max(most, suspect.unexplained);
+    if (suspect.unexplained >= suspect.Threshold()) {
+      max_count = std::max(max_count, suspect.unexplained);
     }
   }
-  return most;
+  return max_count;
 }
 
-// Works out anew who is in quarantine: those under which most endpoints have ended come first, and
-// each leaves less for the others to explain.
-void CrashBook::Settle() {
+// Recomputes the quarantine greedily: the suspects with the most unexplained crashes come first,
+// and their crashes no longer count against the others.
+void CrashBook::UpdateQuarantine() {
   std::set<EndpointKey> explained;
   for (auto& [request, suspect] : suspects_) {
     suspect.quarantined = false;
   }
-  while (const std::size_t most = MostUnexplained(explained)) {
+  while (const std::size_t max_count = MaxUnexplained(explained)) {
     for (auto& [request, suspect] : suspects_) {
-      if (!suspect.quarantined && suspect.unexplained == most &&
-          suspect.unexplained >= suspect.Needed()) {
+      if (!suspect.quarantined && suspect.unexplained == max_count &&
+          suspect.unexplained >= suspect.Threshold()) {
         suspect.quarantined = true;
         suspect.held_before = true;
         explained.insert(suspect.endpoints.begin(), suspect.endpoints.end());
@@ -111,17 +112,18 @@
   }
 }
 
-// Those that say least go first: not in quarantine, fewest ends, longest ago.
-void CrashBook::MakeRoom() {
-  while (suspects_.size() > kMostSuspects) {
-    const auto least =
+// Evicts the least significant suspects first: not quarantined, fewest crashes, oldest.
+void CrashBook::EvictSuspects() {
+  while (suspects_.size() > kMaxSuspects) {
+    const auto victim =
         std::min_element(suspects_.begin(), suspects_.end(), [](const Entry& a, const Entry& b) {
-          const auto weight = [](const Suspect& suspect) {
-            return std::make_tuple(suspect.quarantined, suspect.endpoints.size(), suspect.last_end);
+          const auto significance = [](const Suspect& suspect) {
+            return std::make_tuple(suspect.quarantined, suspect.endpoints.size(),
+                                   suspect.last_crash_at);
           };
-          return weight(a.second) < weight(b.second);
+          return significance(a.second) < significance(b.second);
         });
-    suspects_.erase(least);
+    suspects_.erase(victim);
   }
 }
 
@@ -132,9 +134,9 @@
     Suspect& suspect = suspects_[entry.request];
     suspect.endpoints = entry.endpoints;
     suspect.held_before = entry.held_before;
-    suspect.last_end = now - entry.age;
+    suspect.last_crash_at = now - entry.age;
   }
-  Settle();
+  UpdateQuarantine();
   return !std::equal(before.begin(), before.end(), suspects_.begin(), suspects_.end(),
                      [](const Entry& a, const Entry& b) {
                        return a.first == b.first && a.second.held_before == b.second.held_before &&
@@ -146,74 +148,76 @@
   for (const RequestDigest& request : quarantined) {
     Suspect& suspect = suspects_[request];
     if (!suspect.held_before) {
-      suspect.last_end = now;
+      suspect.last_crash_at = now;
       suspect.held_before = true;
-      suspect.endpoints.insert(MadeUpEnd(request, 0));
+      suspect.endpoints.insert(PlaceholderEndpoint(request, 0));
     }
   }
-  Settle();
+  UpdateQuarantine();
 }
 
 bool CrashBook::Expire(TimePoint now) {
-  std::erase_if(cleared_, [&](const auto& entry) { return now - entry.second >= kClearedTime; });
+  std::erase_if(cleared_,
+                [&](const auto& entry) { return now - entry.second >= kClearedRetention; });
   bool changed = false;
   for (auto& [request, suspect] : suspects_) {
-    if (suspect.held_before && now - suspect.last_end >= kQuarantineTime) {
+    if (suspect.held_before && now - suspect.last_crash_at >= kQuarantineTime) {
       suspect.held_before = false;
-      suspect.last_end = now;
+      suspect.last_crash_at = now;
       suspect.endpoints.clear();
       for (std::size_t i = 0; i + 1 < kCrashesToQuarantine; ++i) {
-        suspect.endpoints.insert(MadeUpEnd(request, i));
+        suspect.endpoints.insert(PlaceholderEndpoint(request, i));
       }
       changed = true;
     }
   }
-  const std::size_t forgotten = std::erase_if(suspects_, [&](const Entry& entry) {
-    return !entry.second.held_before && now - entry.second.last_end >= kSuspectTime;
+  const std::size_t removed = std::erase_if(suspects_, [&](const Entry& entry) {
+    return !entry.second.held_before && now - entry.second.last_crash_at >= kSuspectRetention;
   });
-  if (changed || forgotten > 0) {
-    Settle();
+  if (changed || removed > 0) {
+    UpdateQuarantine();
   }
-  return changed || forgotten > 0;
+  return changed || removed > 0;
 }
 
-// Those in quarantine before the others, the latest first.
-std::vector<const CrashBook::Entry*> CrashBook::LatestTold(std::size_t most) const {
-  std::vector<const Entry*> told;
+// Quarantined requests come before the others, the latest first.
+std::vector<const CrashBook::Entry*> CrashBook::LatestEntries(std::size_t max_count) const {
+  std::vector<const Entry*> published;
   for (const Entry& entry : suspects_) {
-    if (entry.second.quarantined || entry.second.Close()) {
-      told.push_back(&entry);
+    if (entry.second.quarantined || entry.second.NearThreshold()) {
+      published.push_back(&entry);
     }
   }
-  std::sort(told.begin(), told.end(), [](const Entry* a, const Entry* b) {
-    return a->second.quarantined != b->second.quarantined ? a->second.quarantined
-                                                          : a->second.last_end > b->second.last_end;
+  std::sort(published.begin(), published.end(), [](const Entry* a, const Entry* b) {
+    return a->second.quarantined != b->second.quarantined
+               ? a->second.quarantined
+               : a->second.last_crash_at > b->second.last_crash_at;
   });
-  told.resize(std::min(told.size(), most));
-  return told;
+  published.resize(std::min(published.size(), max_count));
+  return published;
 }
 
 std::vector<SuspectEntry> CrashBook::Told(TimePoint now) const {
   std::vector<SuspectEntry> entries;
-  for (const Entry* entry : LatestTold(kMostTold)) {
+  for (const Entry* entry : LatestEntries(kMaxPublished)) {
     const auto& [request, suspect] = *entry;
     entries.push_back(
-        {request, suspect.endpoints, suspect.held_before, Between(suspect.last_end, now)});
+        {request, suspect.endpoints, suspect.held_before, Between(suspect.last_crash_at, now)});
   }
   return entries;
 }
 
 QuarantineList CrashBook::List() const {
   QuarantineList list;
-  for (const Entry* entry : LatestTold(kMostTold)) {
+  for (const Entry* entry : LatestEntries(kMaxPublished)) {
     (entry->second.quarantined ? list.quarantined : list.suspects).insert(entry->first);
   }
   return list;
 }
 
-std::set<RequestDigest> CrashBook::Quarantined(std::size_t most) const {
+std::set<RequestDigest> CrashBook::Quarantined(std::size_t max_count) const {
   std::set<RequestDigest> quarantined;
-  for (const Entry* entry : LatestTold(most)) {
+  for (const Entry* entry : LatestEntries(max_count)) {
     if (entry->second.quarantined) {
       quarantined.insert(entry->first);
     }
--- a/src/rudderloom/quarantine/crash_news.cpp
+++ b/src/rudderloom/quarantine/crash_news.cpp
@@ -4,13 +4,13 @@
 
 namespace {
 
-// 20 bytes each: a report stays small beside what else it tells, also after a rack has ended.
-constexpr std::size_t kMostInReport = 256;
+// 20 bytes each: small compared with the rest of a report, even after the failure of a rack.
+constexpr std::size_t kMaxPerReport = 256;
 
 template <class Value>
-void AddUpTo(std::size_t most, const std::set<Value>& from, std::set<Value>& to) {
+void InsertUpTo(std::size_t max_size, const std::set<Value>& from, std::set<Value>& to) {
   for (const Value& value : from) {
-    if (to.size() >= most) {
+    if (to.size() >= max_size) {
       return;
     }
     to.insert(value);
@@ -20,8 +20,8 @@
 }  // namespace
 
 void AddNews(const CrashNews& earlier, CrashNews& newer) {
-  AddUpTo(kMostInReport, earlier.crashes, newer.crashes);
-  AddUpTo(kMostInReport, earlier.cleared, newer.cleared);
+  InsertUpTo(kMaxPerReport, earlier.crashes, newer.crashes);
+  InsertUpTo(kMaxPerReport, earlier.cleared, newer.cleared);
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/quarantine/crash_watch.cpp
+++ b/src/rudderloom/quarantine/crash_watch.cpp
@@ -6,13 +6,14 @@
 
 namespace {
 
-// From an endpoint's first break to the answer that nobody listens, in either order. All
-// connections of a process break as it ends; a proxy before it may listen on for a while.
-constexpr Duration kTogether{1'500};
-// Requests that broke together need one answer, and one more where a proxy gave the first.
-constexpr Duration kAskEvery{100};
-// Requests that a node answers in about a minute, in some 500 KB.
-constexpr std::size_t kMostAnswered = 4'096;
+// Maximum time between an endpoint's first connection failure and the answer that no process
+// listens, in either order. All connections of a process fail as it exits; a proxy in front of it
+// may listen for a while longer.
+constexpr Duration kCrashWindow{1'500};
+// Simultaneous failures need a single probe, and another one if a proxy answered the first.
+constexpr Duration kProbeInterval{100};
+// Number of requests that a node answers in about a minute; takes some 500 KB.
+constexpr std::size_t kMaxAnswered = 4'096;
 
 }  // namespace
 
@@ -20,35 +21,35 @@
                        const RequestDigest& request,
                        TimePoint sent_at,
                        TimePoint now) {
-  if (Survived(request)) {
+  if (RecentlyAnswered(request)) {
     return false;
   }
   Endpoint& endpoint = endpoints_[instance];
-  if (endpoint.first_broke_at == TimePoint() || now - endpoint.first_broke_at >= kTogether) {
+  if (endpoint.first_failure_at == TimePoint() || now - endpoint.first_failure_at >= kCrashWindow) {
     endpoint = {now, {}, false, std::nullopt};
   }
-  if (sent_at > endpoint.first_broke_at) {
+  if (sent_at > endpoint.first_failure_at) {
     return false;
   }
-  if (endpoint.ended) {
+  if (endpoint.crashed) {
     news_.crashes.insert({request, KeyOf(instance)});
     return false;
   }
-  endpoint.broke.push_back(request);
-  if (endpoint.asked_at && now - *endpoint.asked_at < kAskEvery) {
+  endpoint.failed_requests.push_back(request);
+  if (endpoint.probed_at && now - *endpoint.probed_at < kProbeInterval) {
     return false;
   }
-  endpoint.asked_at = now;
+  endpoint.probed_at = now;
   return true;
 }
 
 void CrashWatch::Ended(const std::string& instance, TimePoint now) {
   const auto found = endpoints_.find(instance);
-  if (found == endpoints_.end() || now - found->second.first_broke_at >= kTogether) {
+  if (found == endpoints_.end() || now - found->second.first_failure_at >= kCrashWindow) {
     return;
   }
-  found->second.ended = true;
-  for (const RequestDigest& request : std::exchange(found->second.broke, {})) {
+  found->second.crashed = true;
+  for (const RequestDigest& request : std::exchange(found->second.failed_requests, {})) {
     news_.crashes.insert({request, KeyOf(instance)});
   }
 }
@@ -61,7 +62,7 @@
     return;
   }
   answered_order_.push_back(request);
-  if (answered_order_.size() > kMostAnswered) {
+  if (answered_order_.size() > kMaxAnswered) {
     answered_.erase(answered_order_.front());
     answered_order_.pop_front();
   }
@@ -72,8 +73,9 @@
 }
 
 void CrashWatch::Trim(TimePoint now) {
-  std::erase_if(endpoints_,
-                [&](const auto& entry) { return now - entry.second.first_broke_at >= kTogether; });
+  std::erase_if(endpoints_, [&](const auto& entry) {
+    return now - entry.second.first_failure_at >= kCrashWindow;
+  });
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/quarantine/crash_watch_test.cpp
+++ b/src/rudderloom/quarantine/crash_watch_test.cpp
@@ -15,7 +15,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-TEST_CASE("requests that broke with an endpoint's end are told, whichever is seen first") {
+TEST_CASE("requests that failed in a crash are reported, whichever is observed first") {
   CrashWatch watch;
   CHECK(watch.Broke("e1", Request("a"), At(-40), At(0)));
   CHECK_FALSE(watch.Broke("e1", Request("b"), At(-10), At(1)));
@@ -29,21 +29,20 @@
   CHECK_FALSE(watch.HasNews());
 }
 
-TEST_CASE("a connection that breaks alone says nothing of its request") {
+TEST_CASE("a connection failure without a crash is not reported") {
   CrashWatch watch;
   watch.Broke("e1", Request("reset"), At(-1), At(0));
   watch.Broke("e2", Request("other"), At(-1), At(0));
   watch.Ended("e2", At(5'000));
   watch.Ended("e3", At(5'000));
   CHECK_FALSE(watch.HasNews());
-  // The next break is asked about again.
+  // The next failure is probed again.
   CHECK(watch.Broke("e1", Request("reset"), At(4'000), At(5'000)));
   watch.Trim(At(10'000));
   CHECK(watch.Broke("e1", Request("later"), At(9'000), At(10'000)));
 }
 
-TEST_CASE(
-    "who is sent to an endpoint that has ended, or is known to be answered, has no part in it") {
+TEST_CASE("requests sent after the crash or answered before are not reported") {
   CrashWatch watch;
   watch.Answered(Request("usual"), nullptr);
   CHECK(watch.Broke("e1", Request("bad"), At(-40), At(0)));
@@ -51,14 +50,14 @@
   CHECK_FALSE(watch.Broke("e1", Request("late"), At(2), At(20)));
   watch.Ended("e1", At(30));
   CHECK(watch.Take().crashes == std::set<RequestCrash>{{Request("bad"), KeyOf("e1")}});
-  // Some thousand answers later it is forgotten.
+  // Evicted after some thousand further answers.
   for (int i = 0; i < 5'000; ++i) {
     watch.Answered(Request(std::to_string(i)), nullptr);
   }
   CHECK(watch.Broke("e2", Request("usual"), At(90), At(100)));
 }
 
-TEST_CASE("an answer clears a request that the fleet suspects or holds back") {
+TEST_CASE("an answer clears a suspect or quarantined request") {
   CrashWatch watch;
   const auto list = std::make_shared<const QuarantineList>(
       QuarantineList{{Request("held")}, {Request("suspect")}});
@@ -69,7 +68,7 @@
   CHECK(watch.Take().cleared == std::set<RequestDigest>{Request("held"), Request("suspect")});
 }
 
-TEST_CASE("news are told for some seconds, each once counted as new") {
+TEST_CASE("observations are reported for some seconds, and count as new only once") {
   NewsLog log;
   const CrashNews first{{{Request("a"), 1}}, {}};
   const CrashNews second{{{Request("a"), 1}, {Request("b"), 2}}, {Request("c")}};
--- a/src/rudderloom/quarantine/news_log.cpp
+++ b/src/rudderloom/quarantine/news_log.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-// A takeover of the lease takes some 2 s, and another one to hear of the new holder.
-constexpr Duration kToldFor{4'000};
+// A takeover of the lease takes some 2 s, and learning the new holder as long again.
+constexpr Duration kReportTime{4'000};
 
 template <class Value>
 std::set<Value> Without(const std::set<Value>& values, const std::set<Value>& known) {
-  std::set<Value> left;
+  std::set<Value> remaining;
   std::set_difference(values.begin(), values.end(), known.begin(), known.end(),
-                      std::inserter(left, left.end()));
-  return left;
+                      std::inserter(remaining, remaining.end()));
+  return remaining;
 }
 
 }  // namespace
@@ -26,18 +26,18 @@
   if (added.Empty()) {
     return false;
   }
-  told_.push_back({added, now});
+  entries_.push_back({added, now});
   return true;
 }
 
 CrashNews NewsLog::Current(TimePoint now) {
-  while (!told_.empty() && now - told_.front().since >= kToldFor) {
-    told_.pop_front();
+  while (!entries_.empty() && now - entries_.front().since >= kReportTime) {
+    entries_.pop_front();
   }
   CrashNews current;
-  // The latest first, as a report is bounded.
-  for (auto told = told_.rbegin(); told != told_.rend(); ++told) {
-    AddNews(told->news, current);
+  // Latest first, since the size of a report is bounded.
+  for (auto entry = entries_.rbegin(); entry != entries_.rend(); ++entry) {
+    AddNews(entry->news, current);
   }
   return current;
 }
--- a/src/rudderloom/quarantine/request_digest.cpp
+++ b/src/rudderloom/quarantine/request_digest.cpp
@@ -8,16 +8,16 @@
 
 namespace {
 
-// Keeps the digests apart from those that other programs make of the same bodies.
-constexpr std::string_view kPurpose = "rudderloom request";
-static_assert(kPurpose.size() >= crypto_generichash_KEYBYTES_MIN);
+// Domain separation: makes the digests differ from those of other programs for the same bodies.
+constexpr std::string_view kHashContext = "rudderloom request";
+static_assert(kHashContext.size() >= crypto_generichash_KEYBYTES_MIN);
 
 const unsigned char* BytesOf(std::string_view text) {
   return reinterpret_cast<const unsigned char*>(text.data());
 }
 
-// With its length ahead, so that no two identities give the same bytes.
-void Add(crypto_generichash_state& state, std::string_view part) {
+// Length-prefixed, so that different identities never yield the same bytes.
+void HashPart(crypto_generichash_state& state, std::string_view part) {
   const std::uint64_t size = part.size();
   crypto_generichash_update(&state, reinterpret_cast<const unsigned char*>(&size), sizeof(size));
   crypto_generichash_update(&state, BytesOf(part), part.size());
@@ -27,11 +27,11 @@
 
 RequestDigest DigestOf(const RequestIdentity& identity) {
   crypto_generichash_state state;
-  crypto_generichash_init(&state, BytesOf(kPurpose), kPurpose.size(), kRequestDigestBytes);
-  Add(state, identity.host);
-  Add(state, identity.target);
-  Add(state, identity.caller);
-  Add(state, identity.body);
+  crypto_generichash_init(&state, BytesOf(kHashContext), kHashContext.size(), kRequestDigestBytes);
+  HashPart(state, identity.host);
+  HashPart(state, identity.target);
+  HashPart(state, identity.caller);
+  HashPart(state, identity.body);
   RequestDigest digest;
   crypto_generichash_final(&state, digest.bytes.data(), digest.bytes.size());
   return digest;
--- a/src/rudderloom/quarantine/request_digest_test.cpp
+++ b/src/rudderloom/quarantine/request_digest_test.cpp
@@ -7,7 +7,7 @@
 namespace rudderloom {
 namespace {
 
-TEST_CASE("a request has one digest, and another one as soon as any part of it differs") {
+TEST_CASE("equal requests have equal digests, and any differing part changes the digest") {
   const std::set<RequestDigest> digests{
       DigestOf({"h", "/p/", "member-a", "body"}), DigestOf({"h", "/p/", "member-b", "body"}),
       DigestOf({"h", "/p/", "", "body"}),         DigestOf({"h", "/p/x", "member-a", "body"}),
@@ -18,7 +18,7 @@
   CHECK(DigestOf({"h", "/p/", "member-a", "body"}) == DigestOf({"h", "/p/", "member-a", "body"}));
 }
 
-TEST_CASE("a digest is read back from its digits") {
+TEST_CASE("a digest is parsed from its hex digits") {
   const RequestDigest digest = DigestOf({"h", "/p/", "", "body"});
   CHECK(RequestDigestFromText(TextOf(digest)) == digest);
   CHECK_FALSE(RequestDigestFromText("0").has_value());
