--- a/include/rudderloom/claims/claim_keeper.hpp
+++ b/include/rudderloom/claims/claim_keeper.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Claims calls in the platform, many at once by group commit, before any of them is sent.
+/// Claims calls in the platform before they are sent, with group commit.
 #ifndef RUDDERLOOM_CLAIMS_CLAIM_KEEPER_HPP
 #define RUDDERLOOM_CLAIMS_CLAIM_KEEPER_HPP
 
@@ -19,29 +19,29 @@
 
 namespace rudderloom {
 
-/// @brief The call is this process's to run, once.
+/// @brief This process may execute the call, once.
 /// @ingroup claims
 struct ClaimGranted {
   Claim claim;
 };
 
-/// @brief The key is taken: this is what is known of the call.
+/// @brief The key is already claimed; contains the existing claim.
 /// @ingroup claims
 struct ClaimTaken {
   Claim claim;
 };
 
-/// @brief The platform did not take the claim; the call was not sent and will not be.
+/// @brief The claim could not be stored; the call was not sent and will not be.
 /// @ingroup claims
 struct ClaimUnavailable {
   std::string message;
 };
 
-/// @brief What came of asking for a claim.
+/// @brief Result of an attempt to claim a call.
 /// @ingroup claims
 using ClaimResult = std::variant<ClaimGranted, ClaimTaken, ClaimUnavailable>;
 
-/// @brief Claims for one process. Use from the io_context's thread only.
+/// @brief Manages the claims of one process. Use from the io_context's thread only.
 /// @ingroup claims
 class ClaimKeeper {
  public:
@@ -51,16 +51,16 @@
               ClaimSettings settings,
               Metrics& metrics);
 
-  /// @brief Claims a call; resumes once the claim is in the platform, or is known not to count.
+  /// @brief Claims a call; resumes once the claim is stored in the platform or has failed.
   Awaitable<ClaimResult> Take(std::string key, std::string fingerprint, Duration limit);
 
-  /// @brief Records how a claimed call ended. Recorded in the background, until it is done.
+  /// @brief Records the outcome of a claimed call, in the background with retries.
   void Finish(const std::string& key, const Claim& ended);
 
-  /// @brief Takes back the claim of a call that surely did not run; in the background.
+  /// @brief Releases the claim of a call that was certainly not executed, in the background.
   void Release(const std::string& key, const Claim& claim);
 
-  /// @brief Changes that are not recorded yet.
+  /// @brief Returns the number of changes that are not stored yet.
   std::size_t Pending() const;
 
  private:
@@ -70,32 +70,32 @@
     ChangeKind kind = ChangeKind::kTake;
     std::string key;
     Claim claim;
-    // For kTake: who waits, until when, and the result.
+    // For kTake: the waiting caller, its deadline and the result.
     std::shared_ptr<Timer> waiter;
-    TimePoint give_up_at;
+    TimePoint deadline;
     std::shared_ptr<std::variant<std::monostate, ClaimResult>> result;
   };
 
   struct Shard {
     std::string name;
     std::list<Change> pending;
-    std::size_t committing = 0;  // changes of the commit under way
+    std::size_t committing_count = 0;  // changes in the commit in progress
     ClaimBook book;
     std::optional<StoreRevision> version;  // empty: not read yet
     std::vector<std::string> writers;
     bool running = false;
   };
 
-  bool ProbeUnderWay() const;
-  void Add(Change change);
-  Awaitable<void> Run(Shard& shard);
+  bool ProbeInProgress() const;
+  void Enqueue(Change change);
+  Awaitable<void> CommitLoop(Shard& shard);
   Awaitable<bool> Read(Shard& shard);
   Awaitable<bool> Commit(Shard& shard);
-  void AnswerTaken(Shard& shard);
-  static bool WantsNews(const Shard& shard);
-  static const Claim* PendingEnd(const Shard& shard, const std::string& key);
-  void GiveUpLate(Shard& shard, const std::string& why);
-  static void Answer(Change& change, ClaimResult result);
+  void ResolveTaken(Shard& shard);
+  static bool NeedsRefresh(const Shard& shard);
+  static const Claim* PendingOutcome(const Shard& shard, const std::string& key);
+  void ExpireOverdue(Shard& shard, const std::string& why);
+  static void Resolve(Change& change, ClaimResult result);
 
   asio::io_context& context_;
   ObjectStore& store_;
@@ -103,8 +103,8 @@
   ClaimSettings settings_;
   Metrics& metrics_;
   std::map<std::int64_t, Shard> shards_;
-  std::uint64_t number_ = 0;
-  bool failing_ = false;  // the latest call to the platform gave nothing
+  std::uint64_t sequence_ = 0;
+  bool failing_ = false;  // the latest call to the platform failed
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/endpoint_limits/endpoint_limit.hpp
+++ b/include/rudderloom/endpoint_limits/endpoint_limit.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The request rate that an endpoint accepts from all nodes together, as it announces it.
+/// The fleet-wide request rate limit that an endpoint announces.
 #ifndef RUDDERLOOM_ENDPOINT_LIMITS_ENDPOINT_LIMIT_HPP
 #define RUDDERLOOM_ENDPOINT_LIMITS_ENDPOINT_LIMIT_HPP
 
@@ -12,7 +12,7 @@
 
 namespace rudderloom {
 
-/// @brief What an answer says of its endpoint's limit.
+/// @brief The limit announced in an endpoint's answer.
 /// @ingroup endpoint_limits
 struct LimitAnnouncement {
   enum class Kind {
@@ -24,11 +24,11 @@
   double requests_per_second = 0.0;
 };
 
-/// @brief The latest that is known of an endpoint's limit.
+/// @brief The latest observation of an endpoint's limit.
 /// @ingroup endpoint_limits
 struct EndpointLimit {
   std::optional<double> requests_per_second;  ///< Empty: the limit has ended.
-  TimePoint observed_at;                      ///< An answer said so then.
+  TimePoint observed_at;                      ///< When the answer announced it.
 
   bool operator==(const EndpointLimit&) const = default;
 };
@@ -37,7 +37,7 @@
 /// @ingroup endpoint_limits
 using EndpointLimits = std::map<EndpointKey, EndpointLimit>;
 
-/// @brief Limits that nobody changes any more; null for none.
+/// @brief Immutable limits; null for none.
 /// @ingroup endpoint_limits
 using EndpointLimitsPtr = std::shared_ptr<const EndpointLimits>;
 
--- a/include/rudderloom/endpoint_limits/limit_book.hpp
+++ b/include/rudderloom/endpoint_limits/limit_book.hpp
@@ -9,31 +9,30 @@
 
 namespace rudderloom {
 
-/// @brief What a new observation changes.
+/// @brief Effect of a new observation.
 /// @ingroup endpoint_limits
 enum class LimitChange {
-  kNone,       ///< It is older than what is known, or ends a limit that is not known.
-  kRefreshed,  ///< The limit is as it was.
-  kChanged,    ///< The limit begins, ends or has another value.
+  kNone,       ///< It is older than the known one, or ends an unknown limit.
+  kRefreshed,  ///< The limit is confirmed unchanged.
+  kChanged,    ///< The limit begins, ends or changes its value.
 };
 
-/// @brief Keeps the latest observation of each endpoint. Pure; time is passed in.
+/// @brief Keeps the latest observation of each endpoint. Does no I/O; time is passed in.
 /// @ingroup endpoint_limits
 class LimitBook {
  public:
-  /// @brief Takes one observation. Where two are equally old, a limit takes precedence over its
-  /// end.
+  /// @brief Adds one observation. If two have the same time, a limit takes precedence over its end.
   LimitChange Take(EndpointKey endpoint, const EndpointLimit& limit);
 
-  /// @brief Takes all of them; the largest change.
+  /// @brief Adds several observations; returns the largest change.
   LimitChange Take(const EndpointLimits& limits);
 
   const EndpointLimits& All() const { return limits_; }
 
-  /// @brief Those observed since `moment`.
+  /// @brief Returns the limits observed since `moment`.
   EndpointLimits Since(TimePoint moment) const;
 
-  /// @brief Forgets limits that ended some time ago, and endpoints that are gone.
+  /// @brief Removes limits that ended some time ago, and endpoints that are no longer listed.
   void Expire(const std::function<bool(EndpointKey)>& listed, TimePoint now);
 
  private:
--- a/include/rudderloom/endpoint_limits/limit_exchange.hpp
+++ b/include/rudderloom/endpoint_limits/limit_exchange.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Spreads what one node observes of endpoints' limits to all nodes.
+/// Distributes the endpoint limits observed by one node to all nodes.
 #ifndef RUDDERLOOM_ENDPOINT_LIMITS_LIMIT_EXCHANGE_HPP
 #define RUDDERLOOM_ENDPOINT_LIMITS_LIMIT_EXCHANGE_HPP
 
@@ -10,7 +10,7 @@
 
 namespace rudderloom {
 
-/// @brief A limit on its way between nodes, whose clocks are not compared.
+/// @brief A limit as sent between nodes. It carries an age, since their clocks are not compared.
 /// @ingroup endpoint_limits
 struct SentLimit {
   std::optional<double> requests_per_second;  ///< Empty: the limit has ended.
@@ -19,58 +19,58 @@
   bool operator==(const SentLimit&) const = default;
 };
 
-/// @brief Such limits by endpoint.
+/// @brief Sent limits by endpoint.
 /// @ingroup endpoint_limits
 using SentLimits = std::map<EndpointKey, SentLimit>;
 
-/// @brief As they are sent at `now`.
+/// @brief Converts limits to their ages at `now`.
 /// @ingroup endpoint_limits
 SentLimits WithAges(const EndpointLimits& limits, TimePoint now);
 
-/// @brief All limits that the holder of the lease knows.
+/// @brief All limits known to the lease holder.
 /// @ingroup endpoint_limits
 struct LimitTable {
-  std::uint64_t version = 0;  ///< Differs whenever there is something new; 0 for an empty table.
-  SentLimits limits;          ///< Their ages as the holder sent its message.
+  std::uint64_t version = 0;  ///< Changes with every update; 0 for an empty table.
+  SentLimits limits;          ///< With ages as of the holder's message.
 };
 
-/// @brief The control state's part in it: observations go to the holder of the lease with each
-/// node's reports, for some seconds, and the holder's table comes back when it differs. Pure; time
-/// is passed in.
+/// @brief The control state's part of the distribution: observations are included in each node's
+/// reports to the lease holder for some seconds, and the holder returns its table if it differs.
+/// Does no I/O; time is passed in.
 /// @ingroup endpoint_limits
 class LimitExchange {
  public:
-  /// @brief This node's traffic, or a node that reports here, has observed these; true when the
-  /// holder should receive them at once.
+  /// @brief Adds observations of this node's traffic or of a member; returns true if the holder
+  /// should receive them immediately.
   bool Observed(const SentLimits& limits, TimePoint now);
 
-  /// @brief What is sent to the holder now.
+  /// @brief Returns the observations to send to the holder at `now`.
   SentLimits ToReport(TimePoint now) const;
 
-  /// @brief The holder's table has arrived.
+  /// @brief Merges a table received from the holder.
   /// @param sent_at When the holder sent it, by this node's clock.
   void Received(const LimitTable& table, TimePoint sent_at);
 
-  /// @brief This node has taken the lease. Its own table counts from now on.
+  /// @brief Called when this node acquires the lease; its own table is authoritative from now on.
   void Begin(std::uint64_t epoch);
 
-  /// @brief This node no longer holds the lease.
+  /// @brief Called when this node no longer holds the lease.
   void End() { holding_epoch_.reset(); }
 
-  /// @brief Version of the holder's table that this node knows.
+  /// @brief Returns the version of the holder's table that this node has.
   std::uint64_t Version() const { return version_; }
 
-  /// @brief The table to answer other nodes with.
-  /// @param sent_at When the holder sent the message that it goes along with.
+  /// @brief Returns the table for answers to other nodes.
+  /// @param sent_at When the holder sent the message that contains it.
   LimitTable Table(TimePoint sent_at) const;
 
-  /// @brief Forgets limits that ended some time ago, and endpoints that are gone.
+  /// @brief Removes limits that ended some time ago, and endpoints that are no longer listed.
   void Expire(const std::function<bool(EndpointKey)>& listed, TimePoint now);
 
-  /// @brief Null while no endpoint has a limit.
+  /// @brief Returns the limits for the traffic thread; null while no endpoint has one.
   const EndpointLimitsPtr& ForTraffic() const { return for_traffic_; }
 
-  /// @brief True once after `ForTraffic` has changed.
+  /// @brief Returns true once after `ForTraffic` has changed.
   bool TakeChanged();
 
  private:
@@ -78,12 +78,12 @@
   void Publish();
   void RaiseVersion(TimePoint now);
 
-  LimitBook known_;     // from wherever
-  LimitBook observed_;  // by this node and those that report to it
+  LimitBook known_;     // from all sources
+  LimitBook observed_;  // by this node and its members
   EndpointLimitsPtr for_traffic_;
   bool changed_ = false;
   std::optional<std::uint64_t> holding_epoch_;
-  std::uint64_t changes_ = 0;  // of the table, since the lease was taken
+  std::uint64_t changes_ = 0;  // of the table, since the lease was acquired
   std::uint64_t version_ = 0;
   TimePoint version_raised_at_;
 };
--- a/include/rudderloom/endpoint_limits/limit_watch.hpp
+++ b/include/rudderloom/endpoint_limits/limit_watch.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What this node's traffic knows of endpoints' limits.
+/// Endpoint limits as known to the traffic thread of this node.
 #ifndef RUDDERLOOM_ENDPOINT_LIMITS_LIMIT_WATCH_HPP
 #define RUDDERLOOM_ENDPOINT_LIMITS_LIMIT_WATCH_HPP
 
@@ -7,25 +7,25 @@
 
 namespace rudderloom {
 
-/// @brief How an endpoint may be used as far as its limit goes.
+/// @brief Usability of an endpoint under its limit.
 /// @ingroup endpoint_limits
 enum class LimitStanding {
   kUnlimited,
-  kLimited,     ///< Each request needs a permit; other endpoints come first.
-  kUnobserved,  ///< The same, but no answer has come for a while: a request is to be tried.
-  kRefused,     ///< No permit is to be had at present.
+  kLimited,     ///< Each request needs a permit; other endpoints are preferred.
+  kUnobserved,  ///< Limited, but without recent answers: try a request.
+  kRefused,     ///< Currently no permit is available.
 };
 
-/// @brief Observes the limits that answers announce, and remembers refused permits. Owned by the
-/// traffic thread; time is passed in.
+/// @brief Tracks the limits announced in answers, and refused permits. Owned by the traffic thread;
+/// time is passed in.
 /// @ingroup endpoint_limits
 class LimitWatch {
  public:
-  /// @param spread From 0 to 1, another one at each node: nodes try an unobserved endpoint one
-  /// after the other.
+  /// @param spread From 0 to 1, different on each node, so that the nodes try an unobserved
+  /// endpoint one after the other.
   explicit LimitWatch(double spread) : spread_(spread) {}
 
-  /// @brief An endpoint has answered a request that was sent at `sent_at`.
+  /// @brief Records an endpoint's answer to a request that was sent at `sent_at`.
   ///
   /// An answer without a limit may have been written before a limit that this node has received
   /// since. It ends a limit only if its request was sent after the limit was last observed.
@@ -34,48 +34,51 @@
                        TimePoint sent_at,
                        TimePoint now);
 
-  /// @brief Other nodes have observed these.
+  /// @brief Merges limits observed by other nodes.
   void Received(const EndpointLimitsPtr& limits);
 
-  /// @brief Requests a second that the endpoint accepts from all nodes; empty: it has no limit.
+  /// @brief Returns the requests per second that the endpoint accepts from all nodes; empty if it
+  /// has no limit.
   std::optional<double> LimitOf(EndpointKey endpoint) const;
 
   LimitStanding StandingOf(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now) const;
 
-  /// @brief A permit was refused, and the next one is to be had after `wait`; or nobody could be
-  /// asked. This node then rests for as long as keeps the asks of all nodes within a bound.
+  /// @brief Records that a permit was refused, with the next one available after `wait`, or that no
+  /// node could be asked. This node then pauses long enough to keep the asks of all nodes within a
+  /// bound.
   void Refused(EndpointKey endpoint, Duration wait, std::uint32_t live_nodes, TimePoint now);
 
-  /// @brief Nobody could be asked for a permit; true when the request may be sent all the same.
+  /// @brief Called if no node could be asked for a permit; returns true if the request may be sent
+  /// without one.
   ///
-  /// Over all nodes that is one request in 4 s, however many they are: enough to notice the end of
-  /// the limit.
+  /// Over all nodes together this admits one request per 4 s, regardless of their number: enough to
+  /// notice the end of the limit.
   bool MaySendUnasked(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now);
 
-  /// @brief Somebody has answered for permits again.
-  void Asked(EndpointKey endpoint) { unasked_from_.erase(endpoint); }
+  /// @brief Records that a granting node has answered again.
+  void Asked(EndpointKey endpoint) { next_unpermitted_at_.erase(endpoint); }
 
-  /// @brief Until the next permit for one of those endpoints that were refused.
+  /// @brief Returns the time until the next permit for any of the refused endpoints.
   Duration LeastWait(TimePoint now) const;
 
-  /// @brief What this node has observed since the last call.
+  /// @brief Returns this node's observations since the last call.
   EndpointLimits Take();
 
-  /// @brief Forgets endpoints that are gone.
+  /// @brief Removes endpoints that are no longer listed.
   void Trim(const std::function<bool(EndpointKey)>& listed, TimePoint now);
 
  private:
   struct Refusal {
     TimePoint next_permit_at;
-    TimePoint rest_until;
+    TimePoint paused_until;
   };
 
   double spread_;
   LimitBook book_;
   EndpointLimitsPtr received_;
-  EndpointLimits untold_;
+  EndpointLimits unreported_;
   std::map<EndpointKey, Refusal> refused_;
-  std::map<EndpointKey, TimePoint> unasked_from_;  // when one may be sent without a permit
+  std::map<EndpointKey, TimePoint> next_unpermitted_at_;  // next request without a permit
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/endpoint_limits/permit_book.hpp
+++ b/include/rudderloom/endpoint_limits/permit_book.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Hands out the requests that an endpoint with a limit accepts, one by one.
+/// Grants permits for single requests to endpoints with a limit.
 #ifndef RUDDERLOOM_ENDPOINT_LIMITS_PERMIT_BOOK_HPP
 #define RUDDERLOOM_ENDPOINT_LIMITS_PERMIT_BOOK_HPP
 
@@ -10,63 +10,63 @@
 
 namespace rudderloom {
 
-/// @brief A node asks whether it may send one request to an endpoint.
+/// @brief A node's inquiry whether it may send one request to an endpoint.
 /// @ingroup endpoint_limits
 struct PermitAsk {
   EndpointKey endpoint = 0;
-  double requests_per_second = 0.0;  ///< Over all nodes, as the endpoint announces it.
-  Duration most_wait{0};             ///< The request can be held back so long.
+  double requests_per_second = 0.0;  ///< Fleet-wide, as announced by the endpoint.
+  Duration most_wait{0};             ///< Maximum time that the request can wait.
 };
 
-/// @brief What the node that was asked answers.
+/// @brief Decision of the node that was asked.
 /// @ingroup endpoint_limits
 enum class PermitVerdict {
-  kNotGranting,  ///< It is neither the holder of the lease nor its deputy.
+  kNotGranting,  ///< It is neither the lease holder nor its deputy.
   kGranted,
   kRefused,
 };
 
-/// @brief The word for counters.
+/// @brief Returns the name used as a metric label.
 /// @ingroup endpoint_limits
 std::string_view NameOf(PermitVerdict verdict);
 
-/// @brief Its answer.
+/// @brief Answer to a `PermitAsk`.
 /// @ingroup endpoint_limits
 struct PermitAnswer {
   PermitVerdict verdict = PermitVerdict::kNotGranting;
-  /// @brief Granted: the request may be sent after this time. Refused: the next one may be.
+  /// @brief Granted: the request may be sent after this time. Refused: time until the next permit.
   Duration wait{0};
 };
 
-/// @brief A request is held back for a permit no longer than this.
+/// @brief Maximum time that a request waits for its permit.
 /// @ingroup endpoint_limits
 constexpr Duration kMostPermitWait{500};
 
-/// @brief Whether a node hands out permits, and how many.
+/// @brief Whether a node grants permits, and at which rate.
 /// @ingroup endpoint_limits
 struct PermitBasis {
-  /// @brief `kMostPermitWait` after it has begun to: by then all requests have been sent that the
-  /// node before it permitted.
+  /// @brief `kMostPermitWait` after the node became responsible: by then all requests permitted by
+  /// its predecessor have been sent.
   TimePoint valid_from;
-  TimePoint valid_until;  ///< No request is to be sent later.
-  double part = 1.0;      ///< Of each limit.
+  TimePoint valid_until;  ///< No request may be sent later.
+  double part = 1.0;      ///< Granted fraction of each limit.
 };
 
-/// @brief The part of a limit that the deputy grants while the holder of the lease is out of reach.
-/// The holder may be granting meanwhile to nodes that reach it: together they stay at one and a
-/// half times the limit.
+/// @brief The fraction of a limit that the deputy grants while the lease holder is unreachable. The
+/// holder may still grant permits to nodes that reach it: together they grant at most 1.5 times the
+/// limit.
 /// @ingroup endpoint_limits
 constexpr double kDeputyPart = 0.5;
 
-/// @brief A node whose last message of the holder is older asks the holder's deputy.
+/// @brief A node whose last message from the holder is older asks the holder's deputy.
 /// @ingroup endpoint_limits
 constexpr Duration kHolderGrantsFor{1'000};
 
-/// @brief Spaces the requests of all nodes evenly, by each endpoint's limit. Pure; time is passed
-/// in.
+/// @brief Spaces the requests of all nodes evenly according to each endpoint's limit. Does no I/O;
+/// time is passed in.
 ///
-/// One node keeps the book, so the sum over all nodes does not grow with the fleet: within a time T
-/// at most `limit` x T + 1 requests are permitted, also where one node hands over to another.
+/// A single node keeps the book, so the total does not grow with the fleet: within a time T at most
+/// `limit` x T + 1 requests are permitted, even if one node takes over from another.
 /// @ingroup endpoint_limits
 class PermitBook {
  public:
@@ -75,7 +75,7 @@
  private:
   void Trim(TimePoint now);
 
-  std::map<EndpointKey, TimePoint> next_at_;  // earliest time of an endpoint's next request
+  std::map<EndpointKey, TimePoint> next_at_;  // earliest time of the next request per endpoint
   TimePoint trimmed_at_;
 };
 
--- a/src/rudderloom/claims/claim_book.cpp
+++ b/src/rudderloom/claims/claim_book.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr std::size_t kBytesPerClaim = 160;
-constexpr unsigned kDigestWords = 4;  // of five: 128 bits
+constexpr std::size_t kClaimOverheadBytes = 160;
+constexpr unsigned kDigestWords = 4;  // of SHA-1's five: 128 bits
 
-// A short hash of several parts, each with its length, so that no two lists of parts collide.
+// Short hash of length-prefixed parts, so that different lists of parts never hash the same bytes.
 template <class... Parts>
 std::string Digest(Parts... parts) {
   boost::uuids::detail::sha1 sha;
@@ -35,8 +35,8 @@
   return text;
 }
 
-std::size_t BytesOf(const Claim& claim) {
-  return kBytesPerClaim + claim.body.size() + claim.content_type.size();
+std::size_t StoredSize(const Claim& claim) {
+  return kClaimOverheadBytes + claim.body.size() + claim.content_type.size();
 }
 
 Claim ClaimFromJson(const json::value& value) {
@@ -94,7 +94,7 @@
   }
   for (const auto& member : claims->as_object()) {
     const Claim claim = ClaimFromJson(member.value());
-    book.bytes_ += BytesOf(claim);
+    book.bytes_ += StoredSize(claim);
     book.claims_.emplace(std::string(member.key()), claim);
   }
   return book;
@@ -115,7 +115,7 @@
 
 bool ClaimBook::TryClaim(const std::string& key, const Claim& claim) {
   const bool added = claims_.emplace(key, claim).second;
-  bytes_ += added ? BytesOf(claim) : 0;
+  bytes_ += added ? StoredSize(claim) : 0;
   return added;
 }
 
@@ -124,7 +124,7 @@
   if (found == claims_.end() || found->second.owner != ended.owner) {
     return;
   }
-  bytes_ += BytesOf(ended) - BytesOf(found->second);
+  bytes_ += StoredSize(ended) - StoredSize(found->second);
   found->second = ended;
 }
 
@@ -133,7 +133,7 @@
   if (found == claims_.end() || found->second.owner != owner) {
     return;
   }
-  bytes_ -= BytesOf(found->second);
+  bytes_ -= StoredSize(found->second);
   claims_.erase(found);
 }
 
@@ -142,7 +142,7 @@
     if (entry.second.claimed_at >= before) {
       return false;
     }
-    bytes_ -= BytesOf(entry.second);
+    bytes_ -= StoredSize(entry.second);
     return true;
   });
 }
--- a/src/rudderloom/claims/claim_keeper.cpp
+++ b/src/rudderloom/claims/claim_keeper.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-// A shard nearly as large as the platform's limit on values takes no more claims.
-constexpr std::size_t kMostBytes = 900 * 1024;
-constexpr Duration kBackoffLeast{50};
-constexpr Duration kBackoffMost{2'000};
+// Shards above this size, close to the platform's limit on values, accept no more claims.
+constexpr std::size_t kMaxShardBytes = 900 * 1024;
+constexpr Duration kMinBackoff{50};
+constexpr Duration kMaxBackoff{2'000};
 constexpr Duration kSettleLimit{1'500};
 constexpr Duration kSettlePause{50};
 
@@ -32,34 +32,34 @@
 std::size_t ClaimKeeper::Pending() const {
   std::size_t count = 0;
   for (const auto& [number, shard] : shards_) {
-    count += shard.pending.size() + shard.committing;
+    count += shard.pending.size() + shard.committing_count;
   }
   return count;
 }
 
-// True while some shard is trying to reach the platform, so that others need not.
-bool ClaimKeeper::ProbeUnderWay() const {
+// True while any shard is trying to reach the platform, so that further claims can fail fast.
+bool ClaimKeeper::ProbeInProgress() const {
   return std::any_of(shards_.begin(), shards_.end(),
                      [](const auto& entry) { return entry.second.running; });
 }
 
 Awaitable<ClaimResult> ClaimKeeper::Take(std::string key, std::string fingerprint, Duration limit) {
-  if (failing_ && ProbeUnderWay()) {
+  if (failing_ && ProbeInProgress()) {
     co_return ClaimUnavailable{"the platform does not answer"};
   }
   Change change;
   change.kind = ChangeKind::kTake;
   change.key = key;
-  change.claim.owner = incarnation_ + "/" + std::to_string(++number_);
+  change.claim.owner = incarnation_ + "/" + std::to_string(++sequence_);
   change.claim.fingerprint = std::move(fingerprint);
   change.claim.claimed_at = UnixSeconds();
-  change.give_up_at = Now() + limit;
+  change.deadline = Now() + limit;
   change.result = std::make_shared<std::variant<std::monostate, ClaimResult>>();
   change.waiter = std::make_shared<Timer>(context_);
   change.waiter->expires_at(TimePoint::max());
   const auto waiter = change.waiter;
   const auto result = change.result;
-  Add(std::move(change));
+  Enqueue(std::move(change));
   while (std::holds_alternative<std::monostate>(*result)) {
     co_await waiter->async_wait(kAsTuple);
   }
@@ -71,7 +71,7 @@
   change.kind = ChangeKind::kFinish;
   change.key = key;
   change.claim = ended;
-  Add(std::move(change));
+  Enqueue(std::move(change));
 }
 
 void ClaimKeeper::Release(const std::string& key, const Claim& claim) {
@@ -79,39 +79,39 @@
   change.kind = ChangeKind::kRelease;
   change.key = key;
   change.claim = claim;
-  Add(std::move(change));
+  Enqueue(std::move(change));
 }
 
-void ClaimKeeper::Add(Change change) {
+void ClaimKeeper::Enqueue(Change change) {
   const std::int64_t number = ShardOf(change.key, settings_.shards);
   Shard& shard = shards_[number];
   shard.name = "shard-" + std::to_string(number);
   shard.pending.push_back(std::move(change));
   if (!shard.running) {
     shard.running = true;
-    asio::co_spawn(context_, Run(shard), asio::detached);
+    asio::co_spawn(context_, CommitLoop(shard), asio::detached);
   }
 }
 
-void ClaimKeeper::Answer(Change& change, ClaimResult result) {
+void ClaimKeeper::Resolve(Change& change, ClaimResult result) {
   *change.result = std::move(result);
   change.waiter->cancel();
 }
 
-// One commit after the other, each with all changes that came in the meantime.
-Awaitable<void> ClaimKeeper::Run(Shard& shard) {
-  Backoff backoff(kBackoffLeast, kBackoffMost, std::hash<std::string>{}(incarnation_ + shard.name));
+// Runs commits sequentially, each with all changes that arrived in the meantime.
+Awaitable<void> ClaimKeeper::CommitLoop(Shard& shard) {
+  Backoff backoff(kMinBackoff, kMaxBackoff, std::hash<std::string>{}(incarnation_ + shard.name));
   while (!shard.pending.empty()) {
     Timer batch(context_, settings_.batch);
     co_await batch.async_wait(kAsTuple);
-    const bool known = shard.version && !WantsNews(shard);
+    const bool known = shard.version && !NeedsRefresh(shard);
     const bool done = (known || co_await Read(shard)) && co_await Commit(shard);
     failing_ = !done;
     if (done) {
       backoff.Reset();
       continue;
     }
-    GiveUpLate(shard, "the platform does not answer");
+    ExpireOverdue(shard, "the platform does not answer");
     Timer pause(context_, backoff.Next());
     co_await pause.async_wait(kAsTuple);
   }
@@ -135,8 +135,8 @@
   co_return false;
 }
 
-// How a claim of this process ended, while that is not recorded yet; null when it isn't known.
-const Claim* ClaimKeeper::PendingEnd(const Shard& shard, const std::string& key) {
+// Returns the outcome of a claim of this process that is not stored yet; null if there is none.
+const Claim* ClaimKeeper::PendingOutcome(const Shard& shard, const std::string& key) {
   for (const Change& change : shard.pending) {
     if (change.kind == ChangeKind::kFinish && change.key == key) {
       return &change.claim;
@@ -145,22 +145,23 @@
   return nullptr;
 }
 
-// True when a key that is asked for was still running elsewhere when the shard was read last.
-bool ClaimKeeper::WantsNews(const Shard& shard) {
+// True if a requested key was still claimed by a running call when the shard was last read.
+bool ClaimKeeper::NeedsRefresh(const Shard& shard) {
   return std::any_of(shard.pending.begin(), shard.pending.end(), [&](const Change& change) {
-    const Claim* present = change.kind == ChangeKind::kTake ? shard.book.Find(change.key) : nullptr;
-    return present != nullptr && present->state == ClaimState::kClaimed;
+    const Claim* existing =
+        change.kind == ChangeKind::kTake ? shard.book.Find(change.key) : nullptr;
+    return existing != nullptr && existing->state == ClaimState::kClaimed;
   });
 }
 
-// Answers claims whose key is taken already, by the book as last read or written.
-void ClaimKeeper::AnswerTaken(Shard& shard) {
+// Resolves the waiting claims whose key is already claimed in the book as last read or written.
+void ClaimKeeper::ResolveTaken(Shard& shard) {
   for (auto change = shard.pending.begin(); change != shard.pending.end();) {
-    const Claim* present =
+    const Claim* existing =
         change->kind == ChangeKind::kTake ? shard.book.Find(change->key) : nullptr;
-    if (present != nullptr && present->owner != change->claim.owner) {
-      const Claim* ended = PendingEnd(shard, change->key);
-      Answer(*change, ClaimTaken{ended != nullptr ? *ended : *present});
+    if (existing != nullptr && existing->owner != change->claim.owner) {
+      const Claim* ended = PendingOutcome(shard, change->key);
+      Resolve(*change, ClaimTaken{ended != nullptr ? *ended : *existing});
       change = shard.pending.erase(change);
     } else {
       ++change;
@@ -168,13 +169,13 @@
   }
 }
 
-// Ends the waiting of claims whose time is up. Whether such a claim was recorded may be unknown,
-// so it is taken back in the background; its call is never sent.
-void ClaimKeeper::GiveUpLate(Shard& shard, const std::string& why) {
+// Fails the waiting claims whose deadline has passed. Such a claim may have been stored, so it is
+// released in the background; its call is never sent.
+void ClaimKeeper::ExpireOverdue(Shard& shard, const std::string& reason) {
   const TimePoint now = Now();
   for (Change& change : shard.pending) {
-    if (change.kind == ChangeKind::kTake && now >= change.give_up_at) {
-      Answer(change, ClaimUnavailable{why});
+    if (change.kind == ChangeKind::kTake && now >= change.deadline) {
+      Resolve(change, ClaimUnavailable{reason});
       change.kind = ChangeKind::kRelease;
     }
   }
@@ -182,11 +183,11 @@
 
 Awaitable<bool> ClaimKeeper::Commit(Shard& shard) {
   shard.book.Prune(UnixSeconds() - settings_.retention.count() / 1000);
-  AnswerTaken(shard);
-  if (shard.book.Bytes() > kMostBytes) {
+  ResolveTaken(shard);
+  if (shard.book.Bytes() > kMaxShardBytes) {
     for (Change& change : shard.pending) {
       if (change.kind == ChangeKind::kTake) {
-        Answer(change, ClaimUnavailable{"the shard of this key is full"});
+        Resolve(change, ClaimUnavailable{"the shard of this key is full"});
         change.kind = ChangeKind::kRelease;
       }
     }
@@ -197,7 +198,7 @@
   ClaimBook book = shard.book;
   std::list<Change> batch;
   batch.swap(shard.pending);
-  shard.committing = batch.size();
+  shard.committing_count = batch.size();
   for (const Change& change : batch) {
     switch (change.kind) {
       case ChangeKind::kTake:
@@ -216,13 +217,13 @@
   object.version = shard.version;
   object.writers = shard.writers;
   object.spec = book.ToJson();
-  const std::string token = incarnation_ + "/w" + std::to_string(++number_);
+  const std::string token = incarnation_ + "/w" + std::to_string(++sequence_);
   const SettleTimes times{kSettleLimit, kSettlePause};
   auto written = co_await PutSettled(context_, store_, std::string(object_kind::kClaims),
                                      std::move(object), token, times);
-  shard.committing = 0;
+  shard.committing_count = 0;
   if (auto* stored = std::get_if<StoredObject>(&written)) {
-    // A lost answer may be settled by an object that others have written since.
+    // After a lost answer, the stored object may already include later writes of other nodes.
     shard.book = stored->spec.empty() ? std::move(book) : ClaimBook::FromJson(stored->spec);
     shard.version = stored->version;
     shard.writers = stored->writers;
@@ -232,24 +233,24 @@
       if (change.kind != ChangeKind::kTake) {
         continue;
       }
-      const Claim* present = shard.book.Find(change.key);
-      if (present != nullptr && present->owner == change.claim.owner) {
-        Answer(change, ClaimGranted{change.claim});
-      } else if (present != nullptr) {
-        Answer(change, ClaimTaken{*present});
+      const Claim* existing = shard.book.Find(change.key);
+      if (existing != nullptr && existing->owner == change.claim.owner) {
+        Resolve(change, ClaimGranted{change.claim});
+      } else if (existing != nullptr) {
+        Resolve(change, ClaimTaken{*existing});
       } else {
-        Answer(change, ClaimUnavailable{"the claim was not kept"});
+        Resolve(change, ClaimUnavailable{"the claim was not kept"});
       }
     }
     co_return true;
   }
   const StoreError& error = std::get<StoreError>(written);
   metrics_.Count({"rudderloom_claim_commits_total", "result", NameOf(error.kind)});
-  // Back into the line, before what came since; the next read shows which of it was recorded.
+  // Requeue before newer changes; the next read shows which of them were stored.
   shard.pending.splice(shard.pending.begin(), batch);
   shard.version.reset();
   if (error.kind == StoreError::Kind::kConflict) {
-    // Another node was first: read and go on at once.
+    // Another node wrote first: reread and retry immediately.
     const bool read = co_await Read(shard);
     co_return read;
   }
--- a/src/rudderloom/claims/claim_keeper_test.cpp
+++ b/src/rudderloom/claims/claim_keeper_test.cpp
@@ -16,17 +16,17 @@
 
 constexpr Duration kLimit{500};
 
-ClaimSettings Quick() {
+ClaimSettings FastSettings() {
   ClaimSettings settings;
   settings.batch = Duration(1);
   settings.shards = 1;
   return settings;
 }
 
-// One entry node's claims, before a platform that it shares with others.
+// One entry node with its claims, on a platform shared with other nodes.
 struct Node {
   Node(FakePlatform& platform, asio::io_context& context, std::string name)
-      : store(platform), keeper(context, store, std::move(name), Quick(), metrics) {}
+      : store(platform), keeper(context, store, std::move(name), FastSettings(), metrics) {}
 
   FakeStore store;
   Metrics metrics;
@@ -41,7 +41,7 @@
   return std::holds_alternative<ClaimGranted>(result);
 }
 
-// Lets background work go on until a condition holds.
+// Runs background work until a condition holds.
 template <class Condition>
 void RunUntil(asio::io_context& context, Condition condition) {
   context.restart();
@@ -51,7 +51,7 @@
 
 }  // namespace
 
-TEST_CASE("two nodes that claim one key at once: one runs it") {
+TEST_CASE("two nodes that claim one key concurrently: only one runs it") {
   for (int order = 0; order < 2; ++order) {
     asio::io_context context;
     FakePlatform platform;
@@ -72,29 +72,31 @@
   fakes::ProvedCell("claimed", "two entry nodes claiming at once", "two nodes that claim one key");
 }
 
-TEST_CASE("a node frozen between its read and its write can't take a key that went to another") {
+TEST_CASE(
+    "a node frozen between its read and its write can't claim a key that another node has "
+    "claimed") {
   asio::io_context context;
   FakePlatform platform;
   Node frozen(platform, context, "frozen");
   Node quick(platform, context, "quick");
-  bool stolen = false;
-  // The write of the frozen node is on its way when the other claims.
+  bool claimed_by_rival = false;
+  // Another node claims the key while the write of the frozen node is in flight.
   platform.before_write = [&](const std::string&, const StoredObject& object) {
-    if (!stolen && object.writers.front().starts_with("frozen")) {
-      stolen = true;
+    if (!claimed_by_rival && object.writers.front().starts_with("frozen")) {
+      claimed_by_rival = true;
       asio::io_context inner;
-      Node thief(platform, inner, "thief");
-      CHECK(Granted(RunCoroutine(inner, thief.keeper.Take(Key("k"), "print", kLimit))));
+      Node rival(platform, inner, "rival");
+      CHECK(Granted(RunCoroutine(inner, rival.keeper.Take(Key("k"), "print", kLimit))));
     }
   };
   const auto result = RunCoroutine(context, frozen.keeper.Take(Key("k"), "print", kLimit));
-  CHECK(stolen);
+  CHECK(claimed_by_rival);
   REQUIRE(std::holds_alternative<ClaimTaken>(result));
-  CHECK(std::get<ClaimTaken>(result).claim.owner.starts_with("thief"));
+  CHECK(std::get<ClaimTaken>(result).claim.owner.starts_with("rival"));
   fakes::ProvedCell("claimed", "frozen past its lease and thawed", "a node frozen between");
 }
 
-TEST_CASE("a claim whose answer was lost is still this node's own, and nobody else's") {
+TEST_CASE("a claim whose answer was lost still belongs to its node only") {
   asio::io_context context;
   FakePlatform platform;
   platform.write_fault = [](std::uint64_t number) {
@@ -107,7 +109,7 @@
   fakes::ProvedCell("claimed", "platform losing its answer", "a claim whose answer was lost");
 }
 
-TEST_CASE("claims survive errors that say nothing of the effect") {
+TEST_CASE("claims survive errors that leave the effect of a write unknown") {
   for (const auto fault : {WriteFault::kLostBefore, WriteFault::kServerError,
                            WriteFault::kThrottled, WriteFault::kUnreachable}) {
     asio::io_context context;
@@ -121,19 +123,19 @@
   fakes::ProvedCell("claimed", "platform answering 5xx", "claims survive errors");
 }
 
-TEST_CASE("while the platform is down claims are refused at once, and count for nothing") {
+TEST_CASE("while the platform is down claims are refused immediately and have no effect") {
   asio::io_context context;
   FakePlatform platform;
   Node one(platform, context, "one");
   platform.down = true;
-  // The first finds out; those that come while it is known are refused without waiting.
+  // The first claim detects the outage; further claims are refused without waiting.
   const auto first = RunCoroutine(context, one.keeper.Take(Key("k1"), "print", kLimit));
   CHECK(std::holds_alternative<ClaimUnavailable>(first));
   const TimePoint before = Now();
   const auto second = RunCoroutine(context, one.keeper.Take(Key("k2"), "print", kLimit));
   CHECK(std::holds_alternative<ClaimUnavailable>(second));
   CHECK(Between(before, Now()) < kLimit / 2);
-  // Back again: the refused keys are free.
+  // After the outage the refused keys are free.
   platform.down = false;
   RunUntil(context, [&] { return one.keeper.Pending() == 0; });
   Node other(platform, context, "other");
@@ -142,7 +144,7 @@
   fakes::ProvedCell("claimed", "platform down", "while the platform is down claims are refused");
 }
 
-TEST_CASE("a claim given up while its answer was lost is taken back, so that a retry can run") {
+TEST_CASE("a claim given up while its answer was lost is released, so that a retry can run") {
   asio::io_context context;
   FakePlatform platform;
   platform.write_fault = [](std::uint64_t number) {
@@ -159,7 +161,7 @@
                     "a claim given up while its answer was lost");
 }
 
-TEST_CASE("the second caller gets the first one's outcome, also after its node has died") {
+TEST_CASE("the second caller gets the first one's outcome, even after its node has died") {
   asio::io_context context;
   FakePlatform platform;
   auto one = std::make_unique<Node>(platform, context, "one");
@@ -181,7 +183,7 @@
   fakes::ProvedCell("recorded", "process killed", "the second caller gets the first one's outcome");
 }
 
-TEST_CASE("a claim whose owner died before it said how it ended stays claimed") {
+TEST_CASE("a claim whose owner died before recording the outcome stays claimed") {
   asio::io_context context;
   FakePlatform platform;
   Node one(platform, context, "one");
@@ -194,7 +196,7 @@
   fakes::ProvedCell("sent", "process killed", "a claim whose owner died");
 }
 
-TEST_CASE("a node that saw a call running looks again before it says so a second time") {
+TEST_CASE("a node rereads a claim of a running call before reporting it a second time") {
   asio::io_context context;
   FakePlatform platform;
   Node one(platform, context, "one");
@@ -211,7 +213,7 @@
   CHECK(std::get<ClaimTaken>(taken).claim.state == ClaimState::kEnded);
 }
 
-TEST_CASE("an ending that was lost on the way is recorded once the platform is back") {
+TEST_CASE("an ending that was lost on the way is stored once the platform is back") {
   for (const auto fault :
        {WriteFault::kLostAfter, WriteFault::kLostBefore, WriteFault::kUnreachable}) {
     asio::io_context context;
@@ -238,7 +240,7 @@
   fakes::ProvedCell("recorded", "platform down", "an ending that was lost on the way");
 }
 
-TEST_CASE("a released claim can be taken, a foreign one can't be released") {
+TEST_CASE("a claim can be released only by its owner") {
   ClaimBook book;
   Claim claim;
   claim.owner = "one/1";
@@ -250,32 +252,32 @@
   CHECK(book.Bytes() == 0);
 }
 
-TEST_CASE("claims are forgotten after their retention, and read back what was written") {
+TEST_CASE("claims are removed after their retention, and others are restored from JSON") {
   ClaimBook book;
-  Claim old;
-  old.claimed_at = 100;
-  Claim young;
-  young.claimed_at = 200;
-  young.state = ClaimState::kEnded;
-  young.status = 201;
-  young.body = "b";
-  young.body_kept = true;
-  book.TryClaim("old", old);
-  book.TryClaim("young", young);
+  Claim expired;
+  expired.claimed_at = 100;
+  Claim recent;
+  recent.claimed_at = 200;
+  recent.state = ClaimState::kEnded;
+  recent.status = 201;
+  recent.body = "b";
+  recent.body_kept = true;
+  book.TryClaim("expired", expired);
+  book.TryClaim("recent", recent);
   book.Prune(150);
-  const ClaimBook again = ClaimBook::FromJson(book.ToJson());
-  CHECK(again.Size() == 1);
-  CHECK(again.Find("young")->status == 201);
-  CHECK(again.Bytes() == book.Bytes());
+  const ClaimBook restored = ClaimBook::FromJson(book.ToJson());
+  CHECK(restored.Size() == 1);
+  CHECK(restored.Find("recent")->status == 201);
+  CHECK(restored.Bytes() == book.Bytes());
 }
 
-TEST_CASE("keys of different callers never meet") {
+TEST_CASE("keys of different callers never collide") {
   CHECK(ClaimKey("s", "a", "k") != ClaimKey("s", "b", "k"));
   CHECK(ClaimKey("s", "ab", "c") != ClaimKey("s", "a", "bc"));
 }
 
-TEST_CASE("platform writes don't grow with the calls: group commit") {
-  // At 1, 10 and 100 calls at once, one commit takes them all.
+TEST_CASE("group commit bounds the platform writes regardless of the number of calls") {
+  // One commit includes all of 1, 10 or 100 concurrent calls.
   for (const int calls : {1, 10, 100}) {
     asio::io_context context;
     FakePlatform platform;
--- a/src/rudderloom/endpoint_limits/limit_book.cpp
+++ b/src/rudderloom/endpoint_limits/limit_book.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-// By then every node that hears others has received the end of a limit.
-constexpr Duration kEndedKept{10'000};
+// After this time every connected node has received the end of a limit.
+constexpr Duration kEndedLimitRetention{10'000};
 
 }  // namespace
 
@@ -20,13 +20,14 @@
     limits_.emplace(endpoint, limit);
     return LimitChange::kChanged;
   }
-  EndpointLimit& kept = known->second;
-  const bool ends_as_observed = limit.observed_at == kept.observed_at && !limit.requests_per_second;
-  if (limit.observed_at < kept.observed_at || ends_as_observed) {
+  EndpointLimit& stored = known->second;
+  const bool end_at_same_time =
+      limit.observed_at == stored.observed_at && !limit.requests_per_second;
+  if (limit.observed_at < stored.observed_at || end_at_same_time) {
     return LimitChange::kNone;
   }
-  const bool changed = limit.requests_per_second != kept.requests_per_second;
-  kept = limit;
+  const bool changed = limit.requests_per_second != stored.requests_per_second;
+  stored = limit;
   return changed ? LimitChange::kChanged : LimitChange::kRefreshed;
 }
 
@@ -39,19 +40,19 @@
 }
 
 EndpointLimits LimitBook::Since(TimePoint moment) const {
-  EndpointLimits since;
+  EndpointLimits recent;
   for (const auto& [endpoint, limit] : limits_) {
     if (limit.observed_at >= moment) {
-      since.emplace(endpoint, limit);
+      recent.emplace(endpoint, limit);
     }
   }
-  return since;
+  return recent;
 }
 
 void LimitBook::Expire(const std::function<bool(EndpointKey)>& listed, TimePoint now) {
   std::erase_if(limits_, [&](const auto& entry) {
     const bool ended = !entry.second.requests_per_second;
-    return !listed(entry.first) || (ended && now - entry.second.observed_at > kEndedKept);
+    return !listed(entry.first) || (ended && now - entry.second.observed_at > kEndedLimitRetention);
   });
 }
 
--- a/src/rudderloom/endpoint_limits/limit_exchange.cpp
+++ b/src/rudderloom/endpoint_limits/limit_exchange.cpp
@@ -7,12 +7,12 @@
 
 namespace {
 
-// Long enough to reach a holder that takes the lease in the meantime.
-constexpr Duration kReportedFor{4'000};
-// A limit that stays as it is is sent again so often: nodes need to know that it was observed.
-constexpr Duration kRefreshEvery{1'000};
+// Long enough to reach a holder that acquires the lease in the meantime.
+constexpr Duration kReportTime{4'000};
+// An unchanged limit is sent again at this interval: nodes need its latest observation time.
+constexpr Duration kRefreshInterval{1'000};
 
-EndpointLimits ObservedAt(const SentLimits& limits, TimePoint now) {
+EndpointLimits FromAges(const SentLimits& limits, TimePoint now) {
   EndpointLimits observed;
   for (const auto& [endpoint, limit] : limits) {
     observed[endpoint] = {limit.requests_per_second, now - limit.age};
@@ -35,19 +35,19 @@
   if (limits.empty()) {
     return false;
   }
-  const EndpointLimits observed = ObservedAt(limits, now);
+  const EndpointLimits observed = FromAges(limits, now);
   const LimitChange change = observed_.Take(observed);
   Merge(observed, now);
   return change == LimitChange::kChanged;
 }
 
 SentLimits LimitExchange::ToReport(TimePoint now) const {
-  return WithAges(observed_.Since(now - kReportedFor), now);
+  return WithAges(observed_.Since(now - kReportTime), now);
 }
 
 void LimitExchange::Received(const LimitTable& table, TimePoint sent_at) {
   version_ = table.version;
-  Merge(ObservedAt(table.limits, sent_at), sent_at);
+  Merge(FromAges(table.limits, sent_at), sent_at);
 }
 
 void LimitExchange::Begin(std::uint64_t epoch) {
@@ -86,7 +86,7 @@
   if (change == LimitChange::kNone) {
     return;
   }
-  const bool refresh = now - version_raised_at_ >= kRefreshEvery;
+  const bool refresh = now - version_raised_at_ >= kRefreshInterval;
   if (holding_epoch_ && (change == LimitChange::kChanged || refresh)) {
     RaiseVersion(now);
   }
@@ -100,8 +100,8 @@
 }
 
 void LimitExchange::RaiseVersion(TimePoint now) {
-  constexpr unsigned kHalf = 32;
-  version_ = (*holding_epoch_ << kHalf) | (++changes_ & 0xffffffffU);
+  constexpr unsigned kEpochShift = 32;
+  version_ = (*holding_epoch_ << kEpochShift) | (++changes_ & 0xffffffffU);
   version_raised_at_ = now;
 }
 
--- a/src/rudderloom/endpoint_limits/limit_exchange_test.cpp
+++ b/src/rudderloom/endpoint_limits/limit_exchange_test.cpp
@@ -1,4 +1,4 @@
-// Limits on their way from the node that observed them to all others.
+// Distribution of limits from the observing node to all others.
 #include "rudderloom/endpoint_limits/limit_exchange.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
@@ -26,7 +26,7 @@
   return limits && limits->contains(kEndpoint) && limits->at(kEndpoint).requests_per_second;
 }
 
-TEST_CASE("an observation goes to the holder at once, and its table to a node that lacks it") {
+TEST_CASE("an observation is sent to the holder immediately, and its table to nodes that lack it") {
   LimitExchange node;
   LimitExchange holder;
   holder.Begin(3);
@@ -40,12 +40,12 @@
   CHECK(other.Version() == table.version);
   CHECK(other.TakeChanged());
   CHECK(IsLimited(other));
-  // It is in the reports for some seconds, but is no news any more.
+  // It is repeated in the reports for some seconds, but no longer counts as new.
   CHECK(!holder.Observed(node.ToReport(At(300)), At(305)));
   CHECK(node.ToReport(At(5'000)).empty());
 }
 
-TEST_CASE("the table of a limit that stays as it is differs once a second") {
+TEST_CASE("the table version of an unchanged limit is raised once a second") {
   LimitExchange holder;
   holder.Begin(1);
   holder.Observed(Limited(2.0), At(0));
@@ -56,8 +56,8 @@
   CHECK(holder.Version() > version);
 }
 
-// Guards against nodes that keep a limit which has ended, or take an older limit for a newer one.
-TEST_CASE("the end of a limit outlasts older observations of it") {
+// Guards against nodes that keep an ended limit, or mistake an older observation for a newer one.
+TEST_CASE("older observations do not revive an ended limit") {
   LimitExchange holder;
   holder.Begin(1);
   holder.Observed(Limited(2.0), At(0));
@@ -72,8 +72,8 @@
   CHECK(holder.Table(At(12'000)).version == 0);
 }
 
-// Guards against a holder that tells the versions of the one before it, which nodes have already.
-TEST_CASE("the next holder's table differs, and goes on from what it knows") {
+// Guards against a new holder that reuses table versions of its predecessor.
+TEST_CASE("the next holder's table has a new version and keeps the known limits") {
   LimitExchange former;
   former.Begin(1);
   former.Observed(Limited(2.0), At(0));
@@ -89,7 +89,7 @@
   CHECK(IsLimited(next));
 }
 
-TEST_CASE("endpoints that are gone are forgotten") {
+TEST_CASE("endpoints that are no longer listed are removed") {
   LimitExchange node;
   node.Observed(Limited(2.0), At(0));
   CHECK(node.TakeChanged());
--- a/src/rudderloom/endpoint_limits/limit_watch.cpp
+++ b/src/rudderloom/endpoint_limits/limit_watch.cpp
@@ -7,26 +7,27 @@
 
 namespace {
 
-// A limited endpoint whose last answer is older gets a request also where others have more room, or
-// the end of its limit would never be noticed.
-constexpr Duration kUnobservedAfter{2'000};
-// Times the nodes: what a node waits longer than the first one at most. The answer to the first
-// one's request reaches the others in some 500 ms, so that about 20 ask for one permit.
+// A limited endpoint whose last answer is older gets a request even if others have more capacity.
+// Otherwise the end of its limit would never be noticed.
+constexpr Duration kMaxObservationAge{2'000};
+// Multiplied by the number of nodes: maximum extra wait of a node after the first one. The answer
+// to the first node's request reaches the others in some 500 ms, so about 20 nodes ask for one
+// permit.
 constexpr Duration kUnobservedSpread{25};
-constexpr Duration kUnaskedEvery{4'000};  // over all nodes
-constexpr Duration kLeastWait{20};
-constexpr Duration kMostRest{8'000};
-// Asks of all nodes for one endpoint that the holder is to answer a second, or so many times the
-// limit where that is more: enough for nearly every permit to be taken.
-constexpr double kMostAsksPerSecond = 50.0;
-constexpr double kAsksForOnePermit = 4.0;
-
-// Between two asks of one node.
-Duration RestOf(double limit, std::uint32_t live_nodes) {
+constexpr Duration kUnpermittedInterval{4'000};  // over all nodes
+constexpr Duration kMinPause{20};
+constexpr Duration kMaxPause{8'000};
+// Maximum asks per second of all nodes for one endpoint, or this multiple of the limit if that is
+// more: enough to use nearly every permit.
+constexpr double kMaxAsksPerSecond = 50.0;
+constexpr double kAsksPerPermit = 4.0;
+
+// Pause between two asks of one node.
+Duration PauseFor(double limit, std::uint32_t live_nodes) {
   constexpr double kMillisecondsPerSecond = 1'000.0;
-  const double asks = std::max(kMostAsksPerSecond, kAsksForOnePermit * limit);
-  const double rest = kMillisecondsPerSecond * live_nodes / asks;
-  return std::min(kMostRest, Duration(static_cast<Duration::rep>(rest)));
+  const double asks = std::max(kMaxAsksPerSecond, kAsksPerPermit * limit);
+  const double pause = kMillisecondsPerSecond * live_nodes / asks;
+  return std::min(kMaxPause, Duration(static_cast<Duration::rep>(pause)));
 }
 
 }  // namespace
@@ -47,7 +48,7 @@
   }
   const LimitChange change = book_.Take(endpoint, limit);
   if (change != LimitChange::kNone) {
-    untold_[endpoint] = limit;
+    unreported_[endpoint] = limit;
   }
   return change;
 }
@@ -72,12 +73,12 @@
     return LimitStanding::kUnlimited;
   }
   const auto refused = refused_.find(endpoint);
-  if (refused != refused_.end() && now < refused->second.rest_until) {
+  if (refused != refused_.end() && now < refused->second.paused_until) {
     return LimitStanding::kRefused;
   }
   const auto spread = std::chrono::duration_cast<Duration>(spread_ * kUnobservedSpread *
                                                            static_cast<double>(live_nodes));
-  const bool unobserved = now - known->second.observed_at > kUnobservedAfter + spread;
+  const bool unobserved = now - known->second.observed_at > kMaxObservationAge + spread;
   return unobserved ? LimitStanding::kUnobserved : LimitStanding::kLimited;
 }
 
@@ -85,25 +86,25 @@
                          Duration wait,
                          std::uint32_t live_nodes,
                          TimePoint now) {
-  const Duration rest = RestOf(LimitOf(endpoint).value_or(0.0), live_nodes);
-  refused_[endpoint] = {now + wait, now + std::clamp(wait, std::max(kLeastWait, rest), kMostRest)};
+  const Duration pause = PauseFor(LimitOf(endpoint).value_or(0.0), live_nodes);
+  refused_[endpoint] = {now + wait, now + std::clamp(wait, std::max(kMinPause, pause), kMaxPause)};
 }
 
 bool LimitWatch::MaySendUnasked(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now) {
-  const Duration every = kUnaskedEvery * std::max(1U, live_nodes);
-  const auto first = now + std::chrono::duration_cast<Duration>(spread_ * every);
-  const auto [from, is_new] = unasked_from_.try_emplace(endpoint, first);
+  const Duration interval = kUnpermittedInterval * std::max(1U, live_nodes);
+  const auto first = now + std::chrono::duration_cast<Duration>(spread_ * interval);
+  const auto [from, is_new] = next_unpermitted_at_.try_emplace(endpoint, first);
   if (now < from->second) {
     return false;
   }
-  from->second = now + every;
+  from->second = now + interval;
   return true;
 }
 
 Duration LimitWatch::LeastWait(TimePoint now) const {
-  Duration least = kMostRest;
+  Duration least = kMaxPause;
   for (const auto& [endpoint, refusal] : refused_) {
-    if (refusal.rest_until > now) {
+    if (refusal.paused_until > now) {
       least = std::min(least, std::max(Duration(0), Between(now, refusal.next_permit_at)));
     }
   }
@@ -111,13 +112,13 @@
 }
 
 EndpointLimits LimitWatch::Take() {
-  return std::exchange(untold_, {});
+  return std::exchange(unreported_, {});
 }
 
 void LimitWatch::Trim(const std::function<bool(EndpointKey)>& listed, TimePoint now) {
   book_.Expire(listed, now);
-  std::erase_if(unasked_from_, [&](const auto& entry) { return !listed(entry.first); });
-  std::erase_if(refused_, [&](const auto& entry) { return entry.second.rest_until <= now; });
+  std::erase_if(next_unpermitted_at_, [&](const auto& entry) { return !listed(entry.first); });
+  std::erase_if(refused_, [&](const auto& entry) { return entry.second.paused_until <= now; });
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/endpoint_limits/limit_watch_test.cpp
+++ b/src/rudderloom/endpoint_limits/limit_watch_test.cpp
@@ -1,4 +1,4 @@
-// What traffic takes endpoints' limits to be, from answers that arrive in any order.
+// Endpoint limits derived from answers that arrive in any order.
 #include "rudderloom/endpoint_limits/limit_watch.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
@@ -18,7 +18,7 @@
   return kStart + Duration(milliseconds);
 }
 
-TEST_CASE("an announced limit holds until a later request's answer names none") {
+TEST_CASE("an announced limit holds until a later request's answer announces none") {
   LimitWatch watch(0.0);
   CHECK(watch.Answered(kEndpoint, {Kind::kNone, 0.0}, At(0), At(5)) == LimitChange::kNone);
   CHECK(watch.Answered(kEndpoint, {Kind::kLimited, 2.5}, At(10), At(20)) == LimitChange::kChanged);
@@ -39,7 +39,7 @@
   CHECK(watch.LimitOf(kEndpoint) == 2.5);
 }
 
-TEST_CASE("a limit that another node has observed counts, an older one does not") {
+TEST_CASE("a limit observed by another node is applied unless it is older") {
   LimitWatch watch(0.0);
   watch.Received(std::make_shared<const EndpointLimits>(EndpointLimits{{kEndpoint, {4.0, At(0)}}}));
   CHECK(watch.LimitOf(kEndpoint) == 4.0);
@@ -51,14 +51,14 @@
   CHECK(!watch.LimitOf(kEndpoint));
 }
 
-TEST_CASE("after a refused permit the endpoint rests, and after silence it is tried") {
+TEST_CASE("an endpoint pauses after a refused permit and is tried after silence") {
   LimitWatch watch(0.5);
   watch.Answered(kEndpoint, {Kind::kLimited, 1.0}, At(0), At(0));
   watch.Refused(kEndpoint, Duration(300), kNodes, At(10));
   CHECK(watch.StandingOf(kEndpoint, kNodes, At(309)) == LimitStanding::kRefused);
   CHECK(watch.LeastWait(At(10)) == Duration(300));
   CHECK(watch.StandingOf(kEndpoint, kNodes, At(310)) == LimitStanding::kLimited);
-  // In a large fleet it rests longer, but tells callers the time of the next permit.
+  // In a large fleet the pause is longer, but callers still get the time of the next permit.
   watch.Refused(kEndpoint, Duration(300), 100, At(310));
   CHECK(watch.StandingOf(kEndpoint, 100, At(2'309)) == LimitStanding::kRefused);
   CHECK(watch.LeastWait(At(310)) == Duration(300));
@@ -67,16 +67,16 @@
   CHECK(watch.StandingOf(kEndpoint, kNodes, At(4'461)) == LimitStanding::kUnobserved);
 }
 
-// Guards against an endpoint that stays limited for good, as nobody can be asked for a permit.
-TEST_CASE("without anybody to ask all nodes together send one request in 4 s") {
+// Guards against an endpoint that stays limited forever because no node can be asked for a permit.
+TEST_CASE("without a granting node all nodes together send one request per 4 s") {
   for (const std::uint32_t nodes : {3U, 60U, 300U}) {
     std::vector<LimitWatch> watches;
     for (std::uint32_t i = 0; i < nodes; ++i) {
       watches.emplace_back(static_cast<double>(i) / nodes);
     }
     int sent = 0;
-    constexpr int kUntil = 400'000;
-    for (int now = 0; now < kUntil; now += 100) {
+    constexpr int kRunTime = 400'000;
+    for (int now = 0; now < kRunTime; now += 100) {
       for (LimitWatch& watch : watches) {
         sent += watch.MaySendUnasked(kEndpoint, nodes, At(now)) ? 1 : 0;
       }
@@ -91,7 +91,7 @@
   CHECK(watch.MaySendUnasked(kEndpoint, 3, At(12'000)));
 }
 
-TEST_CASE("each observation is reported once, and what is gone is forgotten") {
+TEST_CASE("each observation is reported once, and unlisted endpoints are removed") {
   LimitWatch watch(0.0);
   watch.Answered(kEndpoint, {Kind::kLimited, 1.0}, At(0), At(0));
   CHECK(watch.Take().size() == 1);
--- a/src/rudderloom/endpoint_limits/permit_book.cpp
+++ b/src/rudderloom/endpoint_limits/permit_book.cpp
@@ -6,13 +6,13 @@
 
 namespace {
 
-// An endpoint that announces less still gets a request now and then: by its answer the end of the
-// limit is noticed.
-constexpr double kLeastRequestsPerSecond = 0.05;
-constexpr Duration kTrimEvery{10'000};
+// An endpoint that announces less still gets occasional requests, whose answers show the end of the
+// limit.
+constexpr double kMinRequestsPerSecond = 0.05;
+constexpr Duration kTrimInterval{10'000};
 
 TimePoint::duration Interval(double requests_per_second) {
-  const double seconds = 1.0 / std::max(kLeastRequestsPerSecond, requests_per_second);
+  const double seconds = 1.0 / std::max(kMinRequestsPerSecond, requests_per_second);
   return std::chrono::ceil<TimePoint::duration>(std::chrono::duration<double>(seconds));
 }
 
@@ -46,7 +46,7 @@
 }
 
 void PermitBook::Trim(TimePoint now) {
-  if (now - trimmed_at_ < kTrimEvery) {
+  if (now - trimmed_at_ < kTrimInterval) {
     return;
   }
   trimmed_at_ = now;
--- a/src/rudderloom/endpoint_limits/permit_book_test.cpp
+++ b/src/rudderloom/endpoint_limits/permit_book_test.cpp
@@ -1,4 +1,4 @@
-// The spacing of requests to an endpoint with a limit.
+// Spacing of requests to an endpoint with a limit.
 #include "rudderloom/endpoint_limits/permit_book.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
@@ -14,23 +14,23 @@
 constexpr PermitBasis kHolder{TimePoint(), TimePoint::max(), 1.0};
 constexpr EndpointKey kEndpoint = 7;
 
-TEST_CASE("requests are spaced by the limit, and wait as long as they can") {
+TEST_CASE("requests are spaced by the limit and wait up to their maximum") {
   PermitBook book;
-  const PermitAsk patient{kEndpoint, 2.0, Duration(500)};
-  CHECK(book.Ask(patient, kHolder, kStart).wait == Duration(0));
-  const PermitAnswer second = book.Ask(patient, kHolder, kStart);
+  const PermitAsk waiting_ask{kEndpoint, 2.0, Duration(500)};
+  CHECK(book.Ask(waiting_ask, kHolder, kStart).wait == Duration(0));
+  const PermitAnswer second = book.Ask(waiting_ask, kHolder, kStart);
   CHECK(second.verdict == PermitVerdict::kGranted);
   CHECK(second.wait == Duration(500));
-  const PermitAnswer third = book.Ask(patient, kHolder, kStart);
+  const PermitAnswer third = book.Ask(waiting_ask, kHolder, kStart);
   CHECK(third.verdict == PermitVerdict::kRefused);
   CHECK(third.wait == Duration(1'000));
-  // A refused request takes nothing.
-  const PermitAnswer later = book.Ask(patient, kHolder, kStart + Duration(600));
+  // A refused request uses no permit.
+  const PermitAnswer later = book.Ask(waiting_ask, kHolder, kStart + Duration(600));
   CHECK(later.verdict == PermitVerdict::kGranted);
   CHECK(later.wait == Duration(400));
 }
 
-TEST_CASE("endpoints have limits of their own, and a limit may change") {
+TEST_CASE("limits are independent per endpoint and may change") {
   PermitBook book;
   CHECK(book.Ask({1, 1.0, Duration(0)}, kHolder, kStart).verdict == PermitVerdict::kGranted);
   CHECK(book.Ask({2, 1.0, Duration(0)}, kHolder, kStart).verdict == PermitVerdict::kGranted);
@@ -41,7 +41,7 @@
   CHECK(book.Ask({1, 100.0, Duration(0)}, kHolder, soon).verdict == PermitVerdict::kGranted);
 }
 
-TEST_CASE("nothing is granted once the lease may have ended, nor sent later") {
+TEST_CASE("no request is permitted or sent after the lease may have ended") {
   PermitBook book;
   const PermitBasis basis{kStart, kStart + Duration(100), 1.0};
   const PermitAsk ask{kEndpoint, 50.0, Duration(0)};
@@ -52,8 +52,8 @@
   CHECK(book.Ask(ask, basis, kStart - Duration(1)).verdict == PermitVerdict::kNotGranting);
 }
 
-// Guards against an endpoint whose limit is never seen to end, as it gets nothing.
-TEST_CASE("a limit of nothing lets a request through now and then") {
+// Guards against an endpoint that gets no requests, so that the end of its limit goes unnoticed.
+TEST_CASE("a limit of zero admits occasional requests") {
   PermitBook book;
   const PermitAsk ask{kEndpoint, 0.0, Duration(0)};
   CHECK(book.Ask(ask, kHolder, kStart).verdict == PermitVerdict::kGranted);
@@ -61,23 +61,23 @@
   CHECK(book.Ask(ask, kHolder, kStart + Duration(20'000)).verdict == PermitVerdict::kGranted);
 }
 
-// Most requests within any `window`.
-std::size_t MostWithin(std::vector<TimePoint> starts, Duration window) {
+// Maximum number of requests within any `window`.
+std::size_t MaxRequestsWithin(std::vector<TimePoint> starts, Duration window) {
   std::sort(starts.begin(), starts.end());
-  std::size_t most = 0;
+  std::size_t max_count = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < starts.size(); ++last) {
     while (starts[last] - starts[first] > window) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    max_count = std::max(max_count, last - first + 1);
   }
-  return most;
+  return max_count;
 }
 
-// Guards against the sum of the holder, the next one and the deputy: one and a half times the
-// limit and five requests in 4 s are what an endpoint bears.
-TEST_CASE("two holders one after the other and a deputy beside them stay within the bound") {
+// Guards against overload by the sum of the holder, its successor and the deputy: an endpoint
+// tolerates 1.5 times the limit plus five requests within 4 s.
+TEST_CASE("two successive holders and a deputy together stay within the bound") {
   constexpr Duration kWindow{4'000};
   constexpr double kBound = 1.5 * 4.0;
   for (const double limit : {0.3, 1.0, 3.7, 20.0, 50.0}) {
@@ -91,12 +91,12 @@
       for (int now = 0; now < 12'000; now += static_cast<int>(random() % 8)) {
         const PermitAsk ask{kEndpoint, limit, Duration(random() % 500)};
         const TimePoint at = kStart + Duration(now);
-        const bool of_deputy = random() % 2 == 0;
-        const bool of_next = !of_deputy && now >= handover;
-        PermitBook& book = of_deputy ? deputy : of_next ? next : first;
+        const bool from_deputy = random() % 2 == 0;
+        const bool from_next = !from_deputy && now >= handover;
+        PermitBook& book = from_deputy ? deputy : from_next ? next : first;
         PermitBasis basis = kHolder;
-        basis.part = of_deputy ? kDeputyPart : 1.0;
-        if (of_next) {
+        basis.part = from_deputy ? kDeputyPart : 1.0;
+        if (from_next) {
           basis.valid_from = kStart + Duration(handover) + kMostPermitWait;
         }
         const PermitAnswer answer = book.Ask(ask, basis, at);
@@ -106,7 +106,7 @@
       }
       CAPTURE(limit);
       CAPTURE(seed);
-      CHECK(static_cast<double>(MostWithin(starts, kWindow)) <= kBound * limit + 5.0);
+      CHECK(static_cast<double>(MaxRequestsWithin(starts, kWindow)) <= kBound * limit + 5.0);
     }
   }
 }
