--- a/include/rudderloom/membership/endpoint_table.hpp
+++ b/include/rudderloom/membership/endpoint_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which endpoints there are and which may get new work, from every source at once.
+/// The known endpoints and whether they may get new work, merged from all sources.
 #ifndef RUDDERLOOM_MEMBERSHIP_ENDPOINT_TABLE_HPP
 #define RUDDERLOOM_MEMBERSHIP_ENDPOINT_TABLE_HPP
 
@@ -20,18 +20,18 @@
 /// @ingroup membership
 struct EndpointSpec {
   std::string name;
-  std::string address;  ///< IP number and port.
+  std::string address;  ///< IP address and port.
   std::string pool;
   std::string availability_zone;
   std::string service;  ///< Name of the plain service; empty for a model engine.
   std::uint64_t memory = 0;
   std::uint32_t slots = 1;
-  bool checks_fences = false;  ///< Absent in the platform means that it does not check.
+  bool checks_fences = false;  ///< False when the platform's entry does not set it.
   bool leaving = false;
   bool operator==(const EndpointSpec&) const = default;
 };
 
-/// @brief What an endpoint says of itself; lags behind what is so.
+/// @brief An endpoint's own load report; always slightly outdated.
 /// @ingroup membership
 struct LoadReport {
   std::string incarnation;
@@ -40,53 +40,54 @@
   std::uint32_t running = 0;
   std::uint32_t waiting = 0;
   std::uint64_t used = 0;
-  std::set<std::string> resident;  ///< Units, as `name@version`.
+  std::set<std::string> resident;  ///< Loaded units, as `name@version`.
   bool operator==(const LoadReport&) const = default;
 };
 
-/// @brief Everything known of one endpoint.
+/// @brief All state known about one endpoint.
 /// @ingroup membership
 struct EndpointState {
   EndpointSpec spec;
   LoadReport report;
   std::optional<TimePoint> reported_at;
-  std::uint32_t failed_polls = 0;  ///< In a row.
-  bool leaving_said = false;       ///< By itself, in a report or an answer, or by a peer.
-  std::uint32_t id = 0;            ///< Small number, stable while the endpoint is known.
+  std::uint32_t failed_polls = 0;  ///< Consecutive failures.
+  bool leaving_said = false;  ///< Announced by the endpoint in a report or an answer, or by a peer.
+  std::uint32_t id = 0;       ///< Small index, stable while the endpoint is known.
 };
 
-/// @brief Reads an endpoint object of the platform; empty when it makes no sense.
+/// @brief Decodes an endpoint object of the platform; returns nullopt when it is invalid.
 /// @ingroup membership
 std::optional<EndpointSpec> EndpointFromJson(const std::string& name,
                                              const boost::json::object& spec);
 
-/// @brief Reads a load report; empty when it makes no sense.
+/// @brief Decodes a load report; returns nullopt when it is invalid.
 /// @ingroup membership
 std::optional<LoadReport> ReportFromJson(const std::string& text);
 
-/// @brief Joins the platform's list, load reports, answers and peers' words. Pure.
+/// @brief Merges the platform's list, load reports, answers and messages of peers. Pure.
 /// @ingroup membership
 class EndpointTable {
  public:
-  /// @brief Takes the platform's list as a whole.
+  /// @brief Applies the platform's complete list.
   void Listed(const std::vector<EndpointSpec>& specs);
   void Put(const EndpointSpec& spec);
   void Gone(const std::string& name);
 
-  /// @brief Takes a load report, which proves the endpoint alive.
+  /// @brief Applies a load report, which proves that the endpoint is alive.
   void Reported(const std::string& name, const LoadReport& report, TimePoint now);
 
-  /// @brief Counts a poll without an answer.
+  /// @brief Records an unanswered poll.
   void PollFailed(const std::string& name);
 
-  /// @brief Takes `name#incarnation`, as an answer or a peer gave it; true when it is news.
+  /// @brief Marks an instance as leaving, given as `name#incarnation` by an answer or a peer.
+  /// @return True when this was not known yet.
   bool SaidLeaving(const std::string& name_and_incarnation);
 
-  /// @brief All `name#incarnation` that said so, for peers.
+  /// @brief Returns all known leaving instances as `name#incarnation`, for peers.
   std::vector<std::string> Leaving() const;
 
-  /// @brief True when the endpoint may get new work: known, not leaving, and not silent.
-  /// Drains are the configuration's matter, not this table's.
+  /// @brief Returns true when the endpoint may get new work: it has reported, is not leaving and
+  /// answers polls. Drains set in the configuration are not checked here.
   static bool Usable(const EndpointState& state);
 
   const std::map<std::string, EndpointState>& Endpoints() const { return endpoints_; }
--- a/include/rudderloom/membership/member_table.hpp
+++ b/include/rudderloom/membership/member_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which entry nodes there are, which are heard, and whom to send the next heartbeats to.
+/// The known entry nodes, which of them are alive, and the targets of the next heartbeats.
 #ifndef RUDDERLOOM_MEMBERSHIP_MEMBER_TABLE_HPP
 #define RUDDERLOOM_MEMBERSHIP_MEMBER_TABLE_HPP
 
@@ -16,83 +16,85 @@
 
 namespace rudderloom {
 
-/// @brief What one entry node tells the others with each heartbeat.
+/// @brief The state that an entry node sends to the others with each heartbeat.
 /// @ingroup membership
 struct NodeState {
   std::string name;
-  std::string incarnation;    ///< New with each start of the process.
-  std::string peers_address;  ///< Where it answers peers and operators.
+  std::string incarnation;    ///< Changes with each start of the process.
+  std::string peers_address;  ///< Address for peers and operators.
   std::string availability_zone;
-  std::uint64_t beat = 0;        ///< Grows with each heartbeat of this incarnation.
-  std::uint64_t generation = 0;  ///< Of the configuration in force there.
+  std::uint64_t beat = 0;        ///< Incremented with each heartbeat of this incarnation.
+  std::uint64_t generation = 0;  ///< Generation of its configuration in force.
   bool stopping = false;
-  std::vector<std::string> leaving;                ///< `endpoint#incarnation` seen leaving.
-  std::map<std::string, std::uint32_t> in_flight;  ///< Requests by endpoint.
-  std::map<std::string, std::uint32_t> demand;     ///< Requests running or waiting, by unit name.
-  std::map<std::string, std::uint64_t> quiet_epochs;  ///< By pool: no older order is in its hand.
-  CrashNews crash_news;                               ///< That it has seen or heard of lately.
+  std::vector<std::string> leaving;  ///< Leaving instances, as `endpoint#incarnation`.
+  std::map<std::string, std::uint32_t> in_flight;  ///< Running requests by endpoint.
+  std::map<std::string, std::uint32_t> demand;     ///< Running or waiting requests by unit name.
+  std::map<std::string, std::uint64_t>
+      quiet_epochs;      ///< By pool: no order of an older epoch is pending on it.
+  CrashNews crash_news;  ///< Recent crashes that it has seen or received.
 };
 
-/// @brief Heartbeat counters of a third node, passed on by whoever heard it.
+/// @brief Heartbeat counters of another node, relayed by a node that received them.
 /// @ingroup membership
 struct NodeDigest {
-  std::uint64_t id = 0;  ///< See IncarnationId.
+  std::uint64_t id = 0;  ///< See `IncarnationId`.
   std::uint64_t beat = 0;
   std::uint64_t generation = 0;
 };
 
-/// @brief A short id for an incarnation, the same in every process.
+/// @brief Returns a short id for an incarnation, the same in every process.
 /// @ingroup membership
 std::uint64_t IncarnationId(const std::string& incarnation);
 
-/// @brief One known entry node and when its heartbeat last advanced.
+/// @brief A known entry node and the time at which its heartbeat counter last advanced.
 /// @ingroup membership
 struct Member {
   NodeState state;
-  bool listed = false;  ///< The platform's list names it.
+  bool listed = false;  ///< In the platform's list.
   std::optional<TimePoint> advanced_at;
 };
 
-/// @brief Knows the other entry nodes, from the platform's lagging list and from heartbeats.
-/// Pure: no I/O, and time is passed in.
+/// @brief Tracks the other entry nodes, from the platform's list, which lags behind, and from
+/// heartbeats. Pure: no I/O, and time is passed in.
 /// @ingroup membership
 class MemberTable {
  public:
   MemberTable(std::string self, MembershipSettings settings);
 
-  /// @brief Takes the platform's list of nodes; one that left the list stays while it is heard.
+  /// @brief Applies the platform's list of nodes; a node that left the list is kept while its
+  /// heartbeats arrive.
   void Listed(const std::vector<NodeState>& nodes);
 
-  /// @brief Takes a node's own word.
+  /// @brief Applies a heartbeat received from the node itself.
   void Heard(const NodeState& state, TimePoint now);
 
-  /// @brief Takes another's word about a node; only a higher beat counts.
+  /// @brief Applies a relayed heartbeat counter; only a higher counter has an effect.
   void HeardOf(const NodeDigest& digest, TimePoint now);
 
-  /// @brief Forgets nodes that are neither listed nor heard.
+  /// @brief Removes nodes that are neither listed nor alive.
   void Expire(TimePoint now);
 
-  /// @brief Addresses for the next heartbeat round: at most the fanout, all in turn.
+  /// @brief Returns the targets of the next heartbeat round: at most the fanout, in rotation.
   std::vector<Member> NextTargets();
 
-  /// @brief Up to `most` heartbeat counters to pass on, those that advanced last; none while a
-  /// heartbeat round reaches every member anyway.
+  /// @brief Returns up to `most` heartbeat counters to relay, those that advanced last; none while
+  /// a heartbeat round reaches every member anyway.
   std::vector<NodeDigest> FreshDigests(std::size_t most) const;
 
-  /// @brief Members heard lately, without this node itself.
+  /// @brief Returns the members that are alive, without this node.
   std::vector<const Member*> Live(TimePoint now) const;
 
-  /// @brief True when the member's heartbeat advanced within the silence limit, which is longer
-  /// where there are so many members that news of one takes several rounds.
+  /// @brief Returns true when the member's heartbeat advanced within the silence limit, which is
+  /// longer in large fleets, where news of a member takes several rounds.
   bool IsLive(const Member& member, TimePoint now) const;
 
-  /// @brief True when no incarnation of this id is listed, heard or remembered.
+  /// @brief Returns true when no known member has this incarnation.
   bool Ended(const std::string& incarnation) const;
 
   const std::map<std::string, Member>& Members() const { return members_; }
 
  private:
-  std::size_t FullMesh() const;
+  std::size_t FullMeshLimit() const;
 
   std::string self_;
   MembershipSettings settings_;
--- a/src/rudderloom/membership/endpoint_table.cpp
+++ b/src/rudderloom/membership/endpoint_table.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Polls in a row without an answer after which an endpoint counts as silent.
-constexpr std::uint32_t kSilentPolls = 3;
+// Consecutive unanswered polls after which an endpoint counts as silent.
+constexpr std::uint32_t kMaxUnansweredPolls = 3;
 
 std::string Instance(const EndpointState& state) {
   return state.spec.name + "#" + state.report.incarnation;
@@ -75,7 +75,7 @@
     state.id = next_id_++;
   }
   if (state.spec.address != spec.address) {
-    // Another process under the same name: nothing known of the former holds.
+    // Another process under the same name: nothing known about the former one applies.
     state.report = {};
     state.reported_at.reset();
     state.failed_polls = 0;
@@ -132,7 +132,7 @@
 
 bool EndpointTable::Usable(const EndpointState& state) {
   return !state.spec.leaving && !state.leaving_said && state.reported_at &&
-         state.failed_polls < kSilentPolls;
+         state.failed_polls < kMaxUnansweredPolls;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/membership/member_table.cpp
+++ b/src/rudderloom/membership/member_table.cpp
@@ -8,10 +8,10 @@
 
 namespace {
 
-// News of a member takes about one more silence limit for each such number of members.
-constexpr std::size_t kMembersPerSilence = 64;
+// Relayed heartbeats need about one more silence limit to arrive for each such number of members.
+constexpr std::size_t kMembersPerSilenceLimit = 64;
 
-// The keys of a map that follow `last`, in a circle, at most `most` of them.
+// Returns at most `most` keys that follow `last`, wrapping around at the end.
 std::vector<std::string> NextKeys(const std::map<std::string, Member>& members,
                                   const std::string& last,
                                   std::size_t most) {
@@ -47,7 +47,7 @@
     }
     Member& member = members_[node.name];
     member.listed = true;
-    // The list lags, so it never overwrites what the node itself has said.
+    // The list lags behind, so it never overwrites what the node itself has sent.
     if (!member.advanced_at) {
       member.state = node;
     }
@@ -88,15 +88,15 @@
   });
 }
 
-// Up to this many members are all called in every round.
-std::size_t MemberTable::FullMesh() const {
+// Fleets of up to this many members send heartbeats to all members in every round.
+std::size_t MemberTable::FullMeshLimit() const {
   return static_cast<std::size_t>(settings_.full_mesh);
 }
 
 std::vector<Member> MemberTable::NextTargets() {
   std::vector<Member> targets;
   const auto fanout = static_cast<std::size_t>(settings_.fanout);
-  const std::size_t count = members_.size() <= FullMesh() ? members_.size() : fanout;
+  const std::size_t count = members_.size() <= FullMeshLimit() ? members_.size() : fanout;
   for (const std::string& name : NextKeys(members_, last_target_, count)) {
     targets.push_back(members_.at(name));
     last_target_ = name;
@@ -106,7 +106,7 @@
 
 std::vector<NodeDigest> MemberTable::FreshDigests(std::size_t most) const {
   std::vector<NodeDigest> digests;
-  if (members_.size() <= FullMesh()) {
+  if (members_.size() <= FullMeshLimit()) {
     return digests;
   }
   std::vector<const Member*> heard;
@@ -137,7 +137,7 @@
 }
 
 bool MemberTable::IsLive(const Member& member, TimePoint now) const {
-  const auto times = static_cast<Duration::rep>(1 + members_.size() / kMembersPerSilence);
+  const auto times = static_cast<Duration::rep>(1 + members_.size() / kMembersPerSilenceLimit);
   return member.advanced_at && Between(*member.advanced_at, now) <= settings_.silent_after * times;
 }
 
--- a/src/rudderloom/membership/membership_test.cpp
+++ b/src/rudderloom/membership/membership_test.cpp
@@ -37,7 +37,7 @@
   CHECK(table.Live(kStart).size() == 1);
   table.Expire(kStart + Duration(1'000));
   CHECK(table.Members().size() == 1);
-  // The same beat again, from a frozen node's queue, is no news.
+  // A repeated counter, such as from a frozen node's queue, does not count.
   table.Heard(Node("a", "a1", 1), kStart + Duration(3'000));
   CHECK(table.Live(kStart + Duration(3'000)).empty());
   table.Expire(kStart + Duration(3'000));
@@ -61,13 +61,13 @@
   table.Heard(Node("a", "a2", 1), kStart);
   CHECK(table.Ended("a1"));
   CHECK_FALSE(table.Ended("a2"));
-  // The list still names the old one: the node's own word counts.
+  // The list still has the old process; the node's own heartbeat takes precedence.
   table.Listed({Node("a", "a1", 0)});
   CHECK(table.Ended("a1"));
   fakes::ProvedCell("node gone", "node list stale", "an older process of the same name");
 }
 
-TEST_CASE("another's word advances a heartbeat, but never back, nor for another incarnation") {
+TEST_CASE("a relayed counter advances a heartbeat, but never back, nor for another incarnation") {
   MembershipSettings settings;
   settings.full_mesh = 1;
   MemberTable table("me", settings);
@@ -81,7 +81,7 @@
   CHECK(table.Live(later).front()->state.generation == 3);
 }
 
-TEST_CASE("heartbeats reach every node in turn, with a bounded number a round") {
+TEST_CASE("heartbeats reach every node in rotation, with a bounded number per round") {
   MembershipSettings settings;
   settings.fanout = 3;
   MemberTable table("me", settings);
@@ -100,7 +100,7 @@
   CHECK(table.FreshDigests(8).size() == 8);
 }
 
-TEST_CASE("an endpoint is usable by its reports, and stops being so by any word of its leaving") {
+TEST_CASE("an endpoint is usable by its reports, until any source says that it is leaving") {
   EndpointTable table;
   table.Listed({Spec("a")});
   const auto usable = [&] { return EndpointTable::Usable(table.Endpoints().at("a")); };
@@ -119,7 +119,7 @@
   CHECK_FALSE(table.SaidLeaving("a#1"));
   CHECK_FALSE(usable());
   CHECK(table.Leaving() == std::vector<std::string>{"a#1"});
-  // A report from before it left, late, does not bring it back; a new process does.
+  // A late report from before it was leaving does not bring it back; a new process does.
   table.Reported("a", report, kStart);
   CHECK_FALSE(usable());
   report.incarnation = "2";
@@ -128,7 +128,7 @@
   fakes::ProvedCell("node leaving", "load report late", "an endpoint is usable by its reports");
 }
 
-TEST_CASE("an endpoint without the mark does not check fences, and nonsense is no endpoint") {
+TEST_CASE("an endpoint without the flag does not check fences, and invalid objects are rejected") {
   const auto spec = EndpointFromJson("a", {{"address", "10.0.0.1:1"}, {"pool", "p"}});
   REQUIRE(spec);
   CHECK_FALSE(spec->checks_fences);
