--- a/include/rudderloom/fleet/control_lag.hpp
+++ b/include/rudderloom/fleet/control_lag.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How late the control thread does its work.
+/// Measures how late the control thread handles its timer ticks.
 #ifndef RUDDERLOOM_FLEET_CONTROL_LAG_HPP
 #define RUDDERLOOM_FLEET_CONTROL_LAG_HPP
 
@@ -9,19 +9,19 @@
 
 namespace rudderloom {
 
-/// @brief Tells whether this process has the processor time for what it does, from how late its
-/// timer's ticks are handled: a tick waits for the processor and behind all messages before it.
-/// Pure: time is passed in.
+/// @brief Detects a shortage of processor time from the delay with which timer ticks are handled: a
+/// tick waits for the processor and behind all messages queued before it. Pure: time is passed in.
 /// @ingroup fleet
 class ControlLag {
  public:
-  /// @brief A tick is handled. Ticks come in the order in which they were due.
-  void Handled(TimePoint due, TimePoint now);
+  /// @brief Records a handled tick. Ticks must be passed in the order in which they were due.
+  void RecordTick(TimePoint due, TimePoint now);
 
-  /// @brief The mean lag of the ticks of the last seconds.
+  /// @brief Returns the mean lag of the ticks of the last seconds.
   Duration Mean() const;
 
-  /// @brief The work is late all the time, not only for a moment: each decision is by now too old.
+  /// @brief Returns true when the lag is sustained rather than momentary, so that every decision
+  /// rests on outdated data.
   bool Overloaded() const;
 
  private:
--- a/include/rudderloom/fleet/counts_inbox.hpp
+++ b/include/rudderloom/fleet/counts_inbox.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counts of other nodes that the control state has not taken yet.
+/// Counts of other nodes that the control state has not processed yet.
 #ifndef RUDDERLOOM_FLEET_COUNTS_INBOX_HPP
 #define RUDDERLOOM_FLEET_COUNTS_INBOX_HPP
 
@@ -12,17 +12,18 @@
 
 namespace rudderloom {
 
-/// @brief Keeps the newest counts of each node, so that a control thread that falls behind has no
-/// more to do than one message a node: queued one by one, the reports of 86 nodes kept a
-/// configuration waiting for 5 s. May be used from any thread.
+/// @brief Keeps only the newest counts of each node, so that a control thread that falls behind has
+/// at most one message per node to process: queued one by one, the reports of 86 nodes delayed a
+/// configuration by 5 s. Thread-safe.
 /// @ingroup fleet
 class CountsInbox {
  public:
-  /// @brief Replaces what the same node told before; what came in since then is added up.
-  /// @return True when the inbox was empty: whoever empties it must be told.
+  /// @brief Replaces the counts that the same node sent before; amounts that accumulated since are
+  /// added up.
+  /// @return True when the inbox was empty, so the consumer has to be notified.
   bool Put(NodeCounts counts);
 
-  /// @brief Takes everything out.
+  /// @brief Removes and returns all counts.
   std::vector<NodeCounts> TakeAll();
 
  private:
--- a/include/rudderloom/fleet/endpoint_directory.hpp
+++ b/include/rudderloom/fleet/endpoint_directory.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which endpoints there are and which may get new requests, from lists, events and answers.
+/// The known endpoints and whether they may get new requests, from store lists, events and reports.
 #ifndef RUDDERLOOM_FLEET_ENDPOINT_DIRECTORY_HPP
 #define RUDDERLOOM_FLEET_ENDPOINT_DIRECTORY_HPP
 
@@ -12,79 +12,84 @@
 
 namespace rudderloom {
 
-/// @brief An endpoint together with what is known beyond its own entry.
+/// @brief An endpoint together with state that is not part of its own entry.
 /// @ingroup fleet
 struct KnownEndpoint {
   EndpointRecord record;
-  std::optional<TimePoint> gone_at;  ///< Since when the platform no longer lists it.
-  /// @brief Until when its entry, which a copy of the store lacks, may be written again.
-  std::optional<TimePoint> awaited_until;
-  std::uint64_t listed_orders = 0;  ///< Orders taken, as its own entry last told.
+  std::optional<TimePoint> gone_at;  ///< When the platform stopped listing it.
+  /// @brief While a restored store lacks its entry: how long the endpoint may take to write it
+  /// again.
+  std::optional<TimePoint> rewrite_awaited_until;
+  std::uint64_t listed_orders = 0;  ///< `orders_taken` of its last entry.
 };
 
-/// @brief What a list is of.
+/// @brief How recent a list of endpoints is.
 /// @ingroup fleet
 enum class ListKind {
-  kPresent,  ///< What the platform has been told up to now.
-  kCopy,     ///< An older copy, whose latest writes are made again in the seconds that follow.
+  kUpToDate,    ///< Contains every write that the platform has acknowledged.
+  kFromBackup,  ///< From an older backup; lost writes are repeated within the next seconds.
 };
 
-/// @brief Joins the platform's list and its events. Pure; time is passed in.
+/// @brief Merges the platform's lists and events. Pure; time is passed in.
 ///
-/// An entry that vanishes may mean that the endpoint leaves, or that the platform lost sight of it
-/// for a moment. Such an endpoint is kept for a short while as a last resort, well within the time
-/// in which a leaving endpoint still takes requests.
+/// A removed entry may mean that the endpoint is leaving, or that the platform lost track of it for
+/// a moment. Such an endpoint is kept for a short while as a last resort, well within the time in
+/// which a leaving endpoint still accepts requests.
 ///
-/// What was known before the platform came back from an older copy holds on: an endpoint that is
-/// leaving or gone is not used for the copy's saying otherwise, and one that the copy lacks is kept
-/// for as long as its entry may take to be written again.
+/// State from before the platform was restored from an older backup remains valid: an endpoint that
+/// is leaving or gone is not used just because the backup lists it, and an endpoint that the backup
+/// lacks is kept for as long as it may take to write its entry again.
 /// @ingroup fleet
 class EndpointDirectory {
  public:
-  /// @param keep_gone How long an endpoint without an entry may still be used.
-  explicit EndpointDirectory(Duration keep_gone) : keep_gone_(keep_gone) {}
+  /// @param unlisted_retention How long an endpoint without an entry may still be used.
+  explicit EndpointDirectory(Duration unlisted_retention)
+      : unlisted_retention_(unlisted_retention) {}
 
-  /// @brief Takes the whole list.
-  void Listed(const std::vector<EndpointRecord>& records, ListKind kind, TimePoint now);
+  /// @brief Applies a complete list.
+  void ApplyList(const std::vector<EndpointRecord>& records, ListKind kind, TimePoint now);
   void Put(const EndpointRecord& record);
-  void Gone(const std::string& instance, TimePoint now);
+  void MarkUnlisted(const std::string& instance, TimePoint now);
 
-  /// @brief The holder of the lease told what requests may be sent to an endpoint for. Kept for
-  /// when the holder falls silent.
-  void Serves(const std::string& instance, const std::vector<ResidentModel>& models);
+  /// @brief Sets the models for which the lease holder lets requests be sent to an endpoint. They
+  /// remain in use when the holder falls silent.
+  void SetServedModels(const std::string& instance, const std::vector<ResidentModel>& models);
 
-  /// @brief Takes what an endpoint answered when it was asked; true when that is news.
-  bool Reported(const std::string& instance, const EngineReport& report);
+  /// @brief Applies an endpoint's answer to a report call.
+  /// @return True when it changed the endpoint's models.
+  bool ApplyReport(const std::string& instance, const EngineReport& report);
 
-  /// @brief Forgets endpoints that have been gone for long enough, and decides on those that a copy
-  /// lacks or has kept; true when there were any.
+  /// @brief Removes endpoints that have been unlisted for long enough, and decides on entries that
+  /// a restored list lacks or still contains.
+  /// @return True when anything changed.
   bool Expire(TimePoint now);
 
   const std::map<std::string, KnownEndpoint>& Endpoints() const { return endpoints_; }
 
  private:
-  // An endpoint that is forgotten, for when a copy of the platform's list brings it back.
-  struct Ended {
+  // A removed endpoint, remembered in case a restored list contains it again.
+  struct Tombstone {
     TimePoint at;
     bool leaving = false;
   };
-  // One that a copy has although it was gone: it is there if its entry does not lapse.
-  struct Doubted {
+  // An entry of a restored list whose endpoint was gone: it counts as alive if the entry does not
+  // lapse by `until`.
+  struct UnconfirmedEntry {
     EndpointRecord record;
     TimePoint until;
   };
 
-  void ForgetEarlierLives(const EndpointRecord& record);
-  void TakeFromCopy(const EndpointRecord& record, TimePoint now);
-  bool ExpireGone(TimePoint now);
-  bool ExpireAwaited(TimePoint now);
-  bool ExpireDoubted(TimePoint now);
-  void ForgetEnded(TimePoint now);
+  void RemoveEarlierInstances(const EndpointRecord& record);
+  void PutFromBackup(const EndpointRecord& record, TimePoint now);
+  bool ExpireUnlisted(TimePoint now);
+  bool ExpireAwaitedRewrites(TimePoint now);
+  bool ExpireUnconfirmed(TimePoint now);
+  void ExpireTombstones(TimePoint now);
 
-  Duration keep_gone_;
+  Duration unlisted_retention_;
   std::map<std::string, KnownEndpoint> endpoints_;
-  std::map<std::string, Ended> ended_;
-  std::map<std::string, Doubted> doubted_;
+  std::map<std::string, Tombstone> tombstones_;
+  std::map<std::string, UnconfirmedEntry> unconfirmed_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/fleet/endpoint_key.hpp
+++ b/include/rudderloom/fleet/endpoint_key.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Four bytes that stand for one life of an endpoint where much is told of many.
+/// A four-byte key for an endpoint instance, used in messages that cover many endpoints.
 #ifndef RUDDERLOOM_FLEET_ENDPOINT_KEY_HPP
 #define RUDDERLOOM_FLEET_ENDPOINT_KEY_HPP
 
@@ -8,8 +8,8 @@
 
 namespace rudderloom {
 
-/// @brief Stands for an endpoint's instance: a hash of the name, the same on all nodes. Two
-/// instances with one key would only blur what is told of each other.
+/// @brief Hash of an endpoint's instance name, the same on all nodes. When two instances collide,
+/// only their reported loads are mixed up.
 /// @ingroup fleet
 using EndpointKey = std::uint32_t;
 EndpointKey KeyOf(std::string_view instance);
--- a/include/rudderloom/fleet/endpoint_record.hpp
+++ b/include/rudderloom/fleet/endpoint_record.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What an endpoint says of itself: in the platform's list, and when it is asked.
+/// What an endpoint publishes about itself, in the platform's list and in its reports.
 #ifndef RUDDERLOOM_FLEET_ENDPOINT_RECORD_HPP
 #define RUDDERLOOM_FLEET_ENDPOINT_RECORD_HPP
 
@@ -15,7 +15,7 @@
 
 namespace rudderloom {
 
-/// @brief A model that an endpoint holds, with the adapters of it.
+/// @brief A model that is loaded on an endpoint, with its loaded adapters.
 /// @ingroup fleet
 struct ResidentModel {
   std::string name;
@@ -24,8 +24,8 @@
   bool operator==(const ResidentModel&) const = default;
 };
 
-/// @brief Weights that an endpoint keeps beside what it holds: it loads them without the weight
-/// store.
+/// @brief Weights that an endpoint keeps in addition to its loaded models, and can load without the
+/// weight store.
 /// @ingroup fleet
 struct LocalWeights {
   std::set<std::string> in_memory;
@@ -37,51 +37,52 @@
   }
 };
 
-/// @brief Names one life of an endpoint: the name it is listed under, and its start where it tells
-/// that, as it may start again under the same name and then knows nothing of before.
-/// @param born By the endpoint's own clock, in milliseconds; 0 where it tells none.
+/// @brief Returns the name of one instance of an endpoint: its listed name and, where known, its
+/// start time, as an endpoint that restarts under the same name has lost all earlier state.
+/// @param born Start time by the endpoint's own clock, in milliseconds; 0 when unknown.
 /// @ingroup fleet
 std::string LifeName(const std::string& id, std::uint64_t born);
 
-/// @brief One life of one endpoint, as the platform lists it.
+/// @brief One instance of an endpoint, as the platform lists it.
 /// @ingroup fleet
 struct EndpointRecord {
-  std::string instance;  ///< Its `LifeName`: new with each start of the process.
-  std::string id;        ///< The name that it is listed under and answers to.
+  std::string instance;  ///< Its `LifeName`, which changes with each start of the process.
+  std::string id;        ///< The name under which it is listed and addressed.
   std::uint64_t born = 0;
   std::string service;
-  std::string address;  ///< IP number and port; may be given to another endpoint later.
+  std::string address;  ///< IP address and port; may be reassigned to another endpoint later.
   std::string availability_zone;
   std::uint32_t slots = 1;
   bool leaving = false;
-  std::uint64_t orders_taken = 0;  ///< Grows with each order; forgotten at a restart.
+  std::uint64_t orders_taken = 0;  ///< Number of orders accepted since the process started.
   std::vector<ResidentModel> models;
-  bool tells_models = true;  ///< False: without `orders_taken` and `models`, which are told apart.
+  bool tells_models =
+      true;  ///< False: `orders_taken` and `models` are not set; they are sent separately.
   bool operator==(const EndpointRecord&) const = default;
 };
 
-/// @brief The platform's list, by instance, with the store's revision of each change. Its records
-/// don't tell models: these change with each order, and what requests may be sent for is told to
-/// all nodes by the holder of the lease anyway.
+/// @brief The platform's list by instance, with the store's revision of each change. Its records
+/// carry no models: these change with each order, and the lease holder sends the models that
+/// requests may use to all nodes anyway.
 /// @ingroup fleet
 using EndpointLog = ChangeLog<EndpointRecord, StoreRevision>;
 using EndpointChanges = Changes<EndpointRecord, StoreRevision>;
 
-/// @brief What a model engine answers when it is asked for its load; some 100 ms old.
+/// @brief A model engine's answer to a report call; its contents are about 100 ms old.
 /// @ingroup fleet
 struct EngineReport {
-  std::uint64_t born = 0;  ///< Of the life that answers; 0 where it tells none.
+  std::uint64_t born = 0;  ///< Start time of the answering instance; 0 when unknown.
   std::vector<ResidentModel> models;
   LocalWeights local_weights;
-  std::set<std::string> pending_adapters;  ///< `model/adapter`, on their way in.
-  bool busy = false;                       ///< An order is under way.
+  std::set<std::string> pending_adapters;  ///< Adapters being loaded, as `model/adapter`.
+  bool busy = false;                       ///< An order is being carried out.
   std::uint64_t orders_taken = 0;
   std::uint32_t queued = 0;
   std::uint32_t running = 0;
   std::uint64_t tokens_used = 0;
 };
 
-/// @brief The model of this name among those held; null when it is not there.
+/// @brief Returns the model of this name, or null when it is not among `models`.
 /// @ingroup fleet
 const ResidentModel* FindModel(const std::vector<ResidentModel>& models, const std::string& name);
 
--- a/include/rudderloom/fleet/fleet_actor.hpp
+++ b/include/rudderloom/fleet/fleet_actor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The one thread that owns the fleet's control state: a detached CAF actor.
+/// The thread that owns the fleet's control state: a detached CAF actor.
 #ifndef RUDDERLOOM_FLEET_FLEET_ACTOR_HPP
 #define RUDDERLOOM_FLEET_FLEET_ACTOR_HPP
 
@@ -10,17 +10,17 @@
 
 namespace rudderloom {
 
-/// @brief Hands messages to the control state, one at a time. Post may be called from any thread.
+/// @brief Passes messages to the control state, one at a time. `Post` is thread-safe.
 /// @ingroup fleet
 class FleetActor {
  public:
-  /// @param sink Takes the effects of each message, on the actor's thread.
+  /// @param sink Receives the effects of each message, on the actor's thread.
   FleetActor(FleetSettings settings,
              std::string incarnation,
              std::function<void(FleetEffects)> sink);
   FleetActor(const FleetActor&) = delete;
   FleetActor& operator=(const FleetActor&) = delete;
-  /// @brief Ends the actor and waits for its thread.
+  /// @brief Stops the actor and joins its thread.
   ~FleetActor();
 
   void Post(fleet_message::Any message);
--- a/include/rudderloom/fleet/fleet_formats.hpp
+++ b/include/rudderloom/fleet/fleet_formats.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// How the platform writes down what the fleet's control state reads; filled in by its adapter.
+/// The platform's encodings of what the fleet's control state reads; provided by the platform
+/// adapter.
 #ifndef RUDDERLOOM_FLEET_FLEET_FORMATS_HPP
 #define RUDDERLOOM_FLEET_FLEET_FORMATS_HPP
 
@@ -17,19 +18,19 @@
 
 namespace rudderloom {
 
-/// @brief Why an object of the platform makes no sense.
+/// @brief Reason for which an object of the platform could not be decoded.
 /// @ingroup fleet
 struct FormatError {
   std::string message;
 };
 
-/// @brief Kinds of objects, and functions that translate; none of them decides anything.
+/// @brief Object kinds and conversion functions; they contain no decisions.
 /// @ingroup fleet
 struct FleetFormats {
   std::string configuration_kind;
-  std::string configuration_name;  ///< Of the one object that holds it.
+  std::string configuration_name;  ///< Name of the single configuration object.
   std::string endpoint_kind;
-  std::string lease_kind;  ///< Of this system's own objects.
+  std::string lease_kind;  ///< Kind of this system's own objects.
   std::function<std::variant<RouteTablePtr, FormatError>(const StoredObject&)> read_routes;
   std::function<std::optional<EndpointRecord>(const StoredObject&)> read_endpoint;
   std::function<HttpRequest(const std::string& address)> write_report_call;
--- a/include/rudderloom/fleet/fleet_settings.hpp
+++ b/include/rudderloom/fleet/fleet_settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Settings of an entry node that serves routes to endpoints which the platform lists.
+/// Settings of an entry node that routes requests to endpoints listed by the platform.
 #ifndef RUDDERLOOM_FLEET_FLEET_SETTINGS_HPP
 #define RUDDERLOOM_FLEET_FLEET_SETTINGS_HPP
 
@@ -13,41 +13,43 @@
 
 namespace rudderloom {
 
-/// @brief Addresses that the node listens on, each an IP number and a port.
+/// @brief Addresses on which the node listens, each an IP address and a port.
 /// @ingroup fleet
 struct FleetListeners {
   std::string callers;
   std::string readiness;
   std::string peers;
-  std::string metrics;  ///< Empty: metrics are not served.
+  std::string metrics;  ///< Empty: no metrics endpoint.
 };
 
-/// @brief How long things may take, as the deployment promises it.
+/// @brief Time limits and other bounds that the deployment guarantees.
 /// @ingroup fleet
 struct FleetBounds {
-  Duration drain{2'000};          ///< A leaving endpoint gets no new request later than this.
-  Duration grace{8'000};          ///< From the signal to stop until the process is killed.
-  Duration lease{3'000};          ///< Two nodes never order one endpoint within this time.
-  bool checks_fences = false;     ///< Endpoints refuse orders with a lower token.
-  Duration load_window{5'000};    ///< In which starts of loads are counted.
-  double load_overshoot = 1.1;    ///< Over the weight store's rate, within the window.
-  double retry_ratio = 0.2;       ///< Repeats allowed for each request.
-  double retry_extra = 50.0;      ///< Beyond, over all nodes, within the window.
-  Duration retry_window{10'000};  ///< Sliding.
-  Duration configuration{2'000};  ///< A configuration is in force everywhere within this.
-  QuotaBounds quota;              ///< How far customers may go over their limits.
+  Duration drain{2'000};        ///< A leaving endpoint gets no new requests after this time.
+  Duration grace{8'000};        ///< From the stop signal until the process is killed.
+  Duration lease{3'000};        ///< No two nodes send orders to the same endpoint within this time.
+  bool checks_fences = false;   ///< Endpoints reject orders with a lower fencing token.
+  Duration load_window{5'000};  ///< Window over which started loads are counted.
+  double load_overshoot =
+      1.1;  ///< Started loads allowed in the window, relative to the weight store's rate.
+  double retry_ratio = 0.2;       ///< Retries allowed per request.
+  double retry_extra = 50.0;      ///< Additional retries in the window, over all nodes.
+  Duration retry_window{10'000};  ///< Sliding window for retries.
+  Duration configuration{
+      2'000};         ///< A new configuration is in force on all nodes within this time.
+  QuotaBounds quota;  ///< How far customers may exceed their limits.
 };
 
-/// @brief The whole settings file.
+/// @brief Contents of the settings file.
 /// @ingroup fleet
 struct FleetSettings {
   std::string name;
   std::string availability_zone;
-  double processor_share = 1.0;  ///< Of one core, that the node may use.
-  bool first_start = false;      ///< The whole system starts for the first time.
-  /// @brief Nodes that one relay stands for in a fleet of more than one and a half times as many.
-  /// Sixteen keep the number of relays of 300 nodes, which the holder answers, close to the number
-  /// of nodes that each relay answers.
+  double processor_share = 1.0;  ///< Fraction of one core that the node may use.
+  bool first_start = false;      ///< The whole system is starting for the first time.
+  /// @brief Number of nodes per relay, in fleets of more than one and a half times as many nodes.
+  /// With 16, the holder of a fleet of 300 nodes answers about as many relays as each relay answers
+  /// nodes.
   std::uint32_t group_size = 16;
   FleetListeners listen;
   std::string store_address;
@@ -57,11 +59,11 @@
   std::uint32_t log_lines_per_second = 100;
 };
 
-/// @brief True when a settings file asks for this interface.
+/// @brief Returns true when a settings file selects this interface.
 /// @ingroup fleet
 bool AsksForFleet(std::string_view text);
 
-/// @brief Reads and checks settings; all mistakes are given, each with its JSON path.
+/// @brief Parses and validates settings; returns all errors, each with its JSON path.
 /// @ingroup fleet
 std::variant<FleetSettings, JsonErrors> ParseFleetSettings(std::string_view text);
 
--- a/include/rudderloom/fleet/fleet_state.hpp
+++ b/include/rudderloom/fleet/fleet_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The whole control state of an entry node that serves routes: a pure function of its messages.
+/// The control state of an entry node: a pure function of its messages.
 #ifndef RUDDERLOOM_FLEET_FLEET_STATE_HPP
 #define RUDDERLOOM_FLEET_FLEET_STATE_HPP
 
@@ -29,28 +29,28 @@
 
 namespace rudderloom {
 
-/// @brief How the lease's object is to be read.
+/// @brief Consistency with which the lease object is read.
 /// @ingroup fleet
 enum class LeaseRead {
   kFresh,
-  kMayBeStale,  ///< Costs less, and may be seconds old.
+  kMayBeStale,  ///< Cheaper; the result may be seconds old.
 };
 
-/// @brief Who told of an endpoint.
+/// @brief Source of a change to the endpoints.
 /// @ingroup fleet
-enum class EndpointTeller {
+enum class EndpointOrigin {
   kStore,
   kHolder,
 };
 
-/// @brief Counts that this node tells another one.
+/// @brief Counts that this node reports to another one.
 /// @ingroup fleet
 struct CountsToReport {
-  std::string to;  ///< Address.
+  std::string to;  ///< Address of the receiver.
   NodeCounts counts;
 };
 
-/// @brief How this node follows what the store keeps.
+/// @brief How this node follows the objects in the store.
 /// @ingroup fleet
 struct Followings {
   Following endpoints = Following::kStoreOnce;
@@ -58,25 +58,26 @@
   bool operator==(const Followings&) const = default;
 };
 
-/// @brief How a process follows the store from its start on, until it decides otherwise.
+/// @brief Returns how a process follows the store after its start, until the control state changes
+/// it.
 /// @ingroup fleet
 Followings FollowingsAtStart(const FleetSettings& settings);
 
-/// @brief What the control state asks of the rest of the process.
+/// @brief Actions that the control state requests from the rest of the process.
 /// @ingroup fleet
 struct FleetEffects {
-  FleetViewPtr view;  ///< Null when nothing changed for traffic.
+  FleetViewPtr view;  ///< Null when nothing relevant to requests changed.
   std::optional<LeaseRead> lease_read;
   std::optional<LeaseWrite> lease_write;
   PlacementEffects placement;
   std::optional<CountsToReport> report;
-  std::shared_ptr<const Statement> statement;  ///< Null when it did not change.
-  std::optional<Followings> followings;        ///< When they changed.
-  /// @brief Of the store, when it has risen: what waits for a change in an older one may wait for
-  /// good.
+  std::shared_ptr<const Statement> statement;  ///< Null when unchanged.
+  std::optional<Followings> followings;        ///< Empty when unchanged.
+  /// @brief The store's era when it has advanced: calls that wait for a change in an older era
+  /// might never return.
   std::optional<std::uint64_t> store_era;
-  bool read_routes = false;  ///< A peer has a newer configuration than this node's watch brought.
-  bool released = false;     ///< After a stop was asked: no lease is held any more.
+  bool read_routes = false;  ///< A peer has a newer configuration than this node.
+  bool released = false;     ///< The node is stopping and no longer holds a lease.
 };
 
 /// @brief Owns the control state. No I/O; time is passed in.
@@ -88,10 +89,10 @@
   FleetEffects Handle(const fleet_message::Any& any, TimePoint now);
 
  private:
-  // The holder's word, without the changes that it told.
-  struct HeardWord {
+  // The holder's last digest, without the changes that it carried.
+  struct ReceivedDigest {
     HolderDigest digest;
-    TimePoint made_at;  // by the holder
+    TimePoint made_at;  // When the holder made it.
   };
 
   void On(const fleet_message::RoutesSeen& seen, TimePoint now);
@@ -102,7 +103,7 @@
   void On(const fleet_message::LeaseWritten& written, TimePoint now);
   void On(const fleet_message::NodeSampled& sampled, TimePoint now);
   void On(const fleet_message::PeerCounted& counted, TimePoint now);
-  void On(const fleet_message::DigestHeard& heard, TimePoint now);
+  void On(const fleet_message::DigestHeard& received, TimePoint now);
   void On(const fleet_message::ReportFailed& failed, TimePoint now);
   void On(const fleet_message::RequestGranted& granted, TimePoint now);
   void On(const fleet_message::RoutesConfirmed& confirmed, TimePoint now);
@@ -111,124 +112,124 @@
   void On(const fleet_message::StopAsked& asked, TimePoint now);
   void On(const fleet_message::Tick& tick, TimePoint now);
 
-  void MoveLease(FleetEffects& effects, TimePoint now);
+  void UpdateLease(FleetEffects& effects, TimePoint now);
   std::optional<LeaseRead> LeaseReadDue(TimePoint now);
-  Duration FirstFreshRead() const;
-  void MovePlacement(FleetEffects& effects, TimePoint now);
-  Duration WorkPause() const;
+  Duration FirstFreshReadDelay() const;
+  void UpdatePlacement(FleetEffects& effects, TimePoint now);
+  Duration WorkInterval() const;
   void PublishServing();
-  void TellSpending(NodeCounts& counts, TimePoint now);
-  void BeginBalances(const FormerLease& lease, TimePoint now);
-  LowBalances LowOnes(const BalanceTable& balances, const QuotaLimits& limits) const;
-  void MoveBalances(TimePoint now);
+  void AddSpending(NodeCounts& counts, TimePoint now);
+  void RestoreBalances(const FormerLease& lease, TimePoint now);
+  LowBalances FindLowBalances(const BalanceTable& balances, const QuotaLimits& limits) const;
+  void UpdateBalances(TimePoint now);
   std::shared_ptr<const GrantBasis> MakeGrantBasis() const;
   std::shared_ptr<const GrantBasis> MakeRelayGrantBasis();
-  void NoteQuotaRelay(TimePoint now);
-  void TakeBalances(BalanceTable balances, TimePoint made_at);
-  void TakeCrashNews(const CrashNews& news, TimePoint now);
-  void HearCrashNews(const CrashNews& news, TimePoint now);
-  bool NewsToTell(TimePoint now);
-  void TakeQuarantine(const QuarantineTable& table, TimePoint now);
-  void BeginQuarantine(const FormerLease& lease, TimePoint now);
+  void UpdateQuotaRelay(TimePoint now);
+  void PublishBalances(BalanceTable balances, TimePoint made_at);
+  void RecordCrashNews(const CrashNews& news, TimePoint now);
+  void ApplyPeerCrashNews(const CrashNews& news, TimePoint now);
+  bool UpdatePublishedNews(TimePoint now);
+  void ApplyQuarantine(const QuarantineTable& table, TimePoint now);
+  void RestoreQuarantine(const FormerLease& lease, TimePoint now);
   void QuarantineChanged();
   void ExpireQuarantine(TimePoint now);
   std::shared_ptr<const QuarantineTable> MakeQuarantineTable(TimePoint now) const;
-  void TakeLimits(const SentLimits& limits, TimePoint now);
+  void RecordLimits(const SentLimits& limits, TimePoint now);
   void ExpireLimits(TimePoint now);
   std::string Deputy() const;
-  bool DeputyChanged(TimePoint now);
+  bool UpdateDeputy(TimePoint now);
   std::optional<PermitBasis> MakePermitBasis() const;
   TimePoint HolderPermitsUntil() const;
   std::uint32_t CountNodes(TimePoint now) const;
   void LogLag(TimePoint now);
   bool ShouldResign(TimePoint now) const;
-  void GoOnHolding(FleetEffects& effects, TimePoint now);
-  void MoveResignation(TimePoint now);
+  void ContinueHolding(FleetEffects& effects, TimePoint now);
+  void UpdateResignation(TimePoint now);
   Duration LeaseYield(TimePoint now) const;
   void AnnounceOrders(FleetEffects& effects, TimePoint now);
-  void MoveWord(FleetEffects& effects, TimePoint now);
+  void UpdateDissemination(FleetEffects& effects, TimePoint now);
   void ReportCounts(FleetEffects& effects, TimePoint now);
   bool ReportDue(const std::string& to, TimePoint now) const;
-  Duration ReportPause(TimePoint now) const;
-  void TakeLists(const HolderDigest& digest, TimePoint now);
-  void TakeEndpointsTold(const HolderDigest& digest, TimePoint now);
-  void TakeWord(const HolderDigest& digest, TimePoint now);
+  Duration ReportInterval(TimePoint now) const;
+  void ApplyLists(const HolderDigest& digest, TimePoint now);
+  void ApplyHolderEndpoints(const HolderDigest& digest, TimePoint now);
+  void ApplyDigest(const HolderDigest& digest, TimePoint now);
   NodeDuty Duty(TimePoint now) const;
-  bool Relays(TimePoint now) const;
+  bool ActsAsRelay(TimePoint now) const;
   bool ChooseRelays(TimePoint now);
-  void MoveFollowing(FleetEffects& effects, TimePoint now);
-  void TakeRecord(const EndpointRecord& record, EndpointTeller teller);
-  void TakeGone(const std::string& instance, EndpointTeller teller, TimePoint now);
-  void TakeEndpoints(const EndpointChanges& changes, EndpointTeller teller, TimePoint now);
+  void UpdateFollowings(FleetEffects& effects, TimePoint now);
+  void ApplyEndpointRecord(const EndpointRecord& record, EndpointOrigin origin);
+  void ApplyEndpointRemoval(const std::string& instance, EndpointOrigin origin, TimePoint now);
+  void ApplyEndpointChanges(const EndpointChanges& changes, EndpointOrigin origin, TimePoint now);
   void LogEndpointsIgnored(const StoreRevision& revision, TimePoint now);
-  void TakeList(const std::vector<EndpointRecord>& records,
-                ListKind kind,
-                EndpointTeller teller,
-                TimePoint now);
+  void ApplyEndpointList(const std::vector<EndpointRecord>& records,
+                         ListKind kind,
+                         EndpointOrigin origin,
+                         TimePoint now);
   ListKind ListKindOf(const StoreRevision& revision) const;
   void NoteEra(std::uint64_t era);
-  // A peer has told which configuration it has in force.
-  void PeerHasRoutes(std::uint64_t version, TimePoint now);
-  void RoutesInForce();
+  // Notes the version of the configuration that a peer has in force.
+  void NotePeerRoutes(std::uint64_t version, TimePoint now);
+  void OnRoutesChanged();
   void CatchUpRoutes(FleetEffects& effects, TimePoint now);
   std::uint64_t RoutesVersion() const;
-  // What traffic must know at once has changed.
-  void ChangedForTraffic();
+  // Marks a change that must reach request handling without delay.
+  void MarkViewUrgent();
   bool ViewDue(TimePoint now) const;
   FleetViewPtr MakeView(TimePoint now) const;
   LoadTable OtherLoads(TimePoint now) const;
   LoadForecastPtr CurrentForecast(TimePoint now) const;
   std::shared_ptr<const Statement> MakeStatement(TimePoint now);
   std::shared_ptr<const Statement> MakeRelayStatement(TimePoint now);
-  void TellKnown(Statement& statement);
+  void AddKnownObjects(Statement& statement);
   std::uint64_t ServingVersion() const;
-  bool WordFresh(TimePoint now) const;
-  bool DoubtsHolder(TimePoint now) const;
-  Duration LeaseLookPause(TimePoint now) const;
+  bool DigestFresh(TimePoint now) const;
+  bool SuspectsHolder(TimePoint now) const;
+  Duration LeaseCheckInterval(TimePoint now) const;
 
   FleetSettings settings_;
   std::string incarnation_;
   Published<ConfigurationLog> routes_;
   EndpointDirectory directory_;
   Published<EndpointLog> endpoint_log_;
-  Published<ServingLog> serving_log_;  // made by this node while it holds the lease, else heard
-  std::uint64_t serving_epoch_ = 0;    // that this node last made the log under
+  Published<ServingLog> serving_log_;  // Made by the holder itself, otherwise received.
+  std::uint64_t serving_epoch_ = 0;    // Epoch under which this node last wrote the log.
   SourceChoice endpoint_source_;
   SourceChoice configuration_source_;
   Followings followings_;
   Upstream upstream_;
   GroupCounts group_;
-  std::shared_ptr<const Roster> roster_;  // of the fleet whose lease this node holds
+  std::shared_ptr<const Roster> roster_;  // Set while this node holds the lease.
   ControlLag lag_;
   LeaseKeeper lease_;
   PlacementKeeper placement_;
   DemandBoard board_;
-  LoadSums sums_;          // of the board, as of the last plan
-  LoadForecast forecast_;  // as of the last plan
+  LoadSums sums_;          // Totals of the board at the last plan.
+  LoadForecast forecast_;  // Computed with the last plan.
   SpendingLog spending_;
   QuotaLedger ledger_;
-  std::uint64_t grants_counted_ = 0;      // the last one that this node has booked or told
-  QuotaWordPtr quota_word_;               // the newest that this node made or heard
-  std::uint64_t grants_in_word_ = 0;      // the last grant that the newest balances take in
-  std::string quota_relay_;               // as of the last word; empty for none
-  std::uint32_t quota_group_ = 0;         // nodes that this one stands for as a relay, as of then
-  CrashBook crash_book_;                  // while this node holds the lease the one that counts
-  NewsLog news_log_;                      // of this node and of those that report to it
-  CrashNews told_news_;                   // to nodes that ask this one
-  std::uint64_t quarantine_version_ = 0;  // of the holder's list, that the book takes in
-  std::uint64_t quarantine_changes_ = 0;  // since this node took the lease
-  QuarantineListPtr quarantine_;          // as traffic has it
+  std::uint64_t grants_counted_ = 0;      // Number of the last grant booked or reported.
+  QuotaWordPtr quota_snapshot_;           // The newest made or received.
+  std::uint64_t grants_in_balances_ = 0;  // Last grant included in the newest balances.
+  std::string quota_relay_;               // As of the last digest; empty: none.
+  std::uint32_t quota_group_ = 0;         // Nodes in this relay's group, as of then.
+  CrashBook crash_book_;                  // Authoritative while this node holds the lease.
+  NewsLog news_log_;                      // From this node and those that report to it.
+  CrashNews published_news_;              // As last published to nodes that report here.
+  std::uint64_t quarantine_version_ = 0;  // Version of the holder's list in the book.
+  std::uint64_t quarantine_changes_ = 0;  // Changes since this node took the lease.
+  QuarantineListPtr quarantine_;          // As last published to request handling.
   LimitExchange limits_;
   TimePoint limits_expired_at_;
-  std::optional<TimePoint> deputy_since_;  // this node hands out permits without a holder
-  std::optional<HeardWord> heard_;
-  std::uint64_t newest_routes_ = 0;         // that any peer has told of
-  std::optional<TimePoint> routes_behind_;  // since when a peer has a newer configuration
-  std::string known_holder_;                // by the lease's object
-  std::string told_holder_;                 // to nodes that take this one for the holder
+  std::optional<TimePoint> deputy_since_;  // Set while this node is the deputy.
+  std::optional<ReceivedDigest> received_;
+  std::uint64_t newest_routes_ = 0;         // Newest version reported by any peer.
+  std::optional<TimePoint> routes_behind_;  // When a peer was found to have a newer configuration.
+  std::string lease_holder_;                // According to the lease object.
+  std::string published_holder_;            // As last published to nodes that report here.
   TimePoint reported_at_;
-  TimePoint started_at_;          // when the first message came
-  std::uint64_t held_epoch_ = 0;  // of the lease that placement works under
+  TimePoint started_at_;          // When the first message arrived.
+  std::uint64_t held_epoch_ = 0;  // Lease epoch that placement uses.
   std::uint32_t live_nodes_;
   TimePoint lease_read_at_;
   TimePoint planned_at_;
@@ -238,21 +239,21 @@
   TimePoint lease_ignored_logged_at_;
   TimePoint endpoints_ignored_logged_at_;
   std::optional<TimePoint> resigned_at_;
-  std::optional<std::uint64_t> store_era_;  // the latest that any answer or node has told
-  bool era_rose_ = false;                   // in this process's time
-  bool era_is_news_ = false;                // to the store's client
-  bool holds_ = false;
-  bool lease_reading_ = false;
+  std::optional<std::uint64_t> store_era_;  // Latest era seen in any message.
+  bool era_advanced_ = false;               // The era has advanced since this process started.
+  bool era_unannounced_ = false;            // The store client does not know the era yet.
+  bool holds_lease_ = false;
+  bool lease_read_pending_ = false;
   bool stopping_ = false;
-  bool resigning_ = false;  // the lease is held, and given up once no order is under way
+  bool resigning_ = false;  // The lease is given up once no order is in flight.
   bool endpoints_known_ = false;
-  bool changed_ = false;       // since the last view
-  bool changed_much_ = false;  // more than loads, which may wait a moment
-  bool urgent_ = false;        // requests wait for something that only the holder can order
-  bool relayed_ = false;       // this node's last statement was a relay's
-  bool unanswered_ = false;    // the last report got no answer of use
-  bool sent_on_ = false;       // the last answer named a relay
-  bool retell_ = false;        // to the nodes that hear this one as a relay
+  bool view_changed_ = false;       // Since the last view.
+  bool view_urgent_ = false;        // Something other than loads changed, so the view can't wait.
+  bool report_urgent_ = false;      // Requests wait for an order that only the holder can send.
+  bool was_relay_ = false;          // The last statement was made as a relay.
+  bool report_unanswered_ = false;  // The last report got no usable answer.
+  bool redirected_ = false;         // The last answer redirected this node to a relay.
+  bool statement_due_ = false;      // A relay's statement has to be made again.
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/fleet/fleet_view.hpp
+++ b/include/rudderloom/fleet/fleet_view.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What traffic sees of the configuration and the endpoints: immutable, replaced as a whole.
+/// The configuration and endpoints as request handling sees them: immutable, replaced as a whole.
 #ifndef RUDDERLOOM_FLEET_FLEET_VIEW_HPP
 #define RUDDERLOOM_FLEET_FLEET_VIEW_HPP
 
@@ -20,12 +20,12 @@
 
 namespace rudderloom {
 
-/// @brief Requests that are running or waiting on an endpoint, as somebody last counted them.
+/// @brief Requests running or waiting on an endpoint, as last counted.
 /// @ingroup fleet
 struct EndpointLoad {
   std::uint32_t requests = 0;
-  std::uint32_t deferred = 0;       ///< Of these, those that are to run after all others.
-  std::uint64_t unread_tokens = 0;  ///< Of prompts whose answers have not begun.
+  std::uint32_t deferred = 0;       ///< Of these, requests that run only after all others.
+  std::uint64_t unread_tokens = 0;  ///< Prompt tokens of requests whose answers have not begun.
 
   EndpointLoad& operator+=(const EndpointLoad& other) {
     requests += other.requests;
@@ -42,39 +42,41 @@
   bool operator==(const EndpointLoad&) const = default;
 };
 
-/// @brief Loads by endpoint.
+/// @brief Loads by endpoint key.
 /// @ingroup fleet
 using LoadTable = std::map<EndpointKey, EndpointLoad>;
 
-/// @brief One endpoint as traffic sees it.
+/// @brief One endpoint as request handling sees it.
 /// @ingroup fleet
 struct FleetEndpoint {
   EndpointRecord record;
-  bool last_resort = false;  ///< No longer listed: only where nothing else is there.
-  EndpointLoad others;       ///< Of the other entry nodes, as last heard.
+  bool last_resort = false;  ///< No longer listed: used only when there is no other endpoint.
+  EndpointLoad others;       ///< Load from the other entry nodes, as last received.
 };
 
-/// @brief One consistent view; a request keeps it for as long as it needs it.
+/// @brief A consistent view; a request keeps its view for as long as needed.
 /// @ingroup fleet
 struct FleetView {
   RouteTablePtr routes;                  ///< Null before the first configuration.
   std::vector<FleetEndpoint> endpoints;  ///< Those that may get new requests.
-  std::map<std::string, std::vector<std::uint32_t>, std::less<>> by_service;  ///< Indices.
-  std::uint32_t live_nodes = 1;  ///< Entry nodes that share limits, with this one.
+  std::map<std::string, std::vector<std::uint32_t>, std::less<>>
+      by_service;                ///< Indices into `endpoints`.
+  std::uint32_t live_nodes = 1;  ///< Entry nodes that share limits, including this one.
   bool endpoints_known = false;  ///< The platform's list has been read.
-  QuotaWordPtr quota;            ///< What customers may spend; null before the first word.
-  std::string quota_holder;      ///< Address of the holder, which grants more; empty: not known.
-  std::string quota_relay;       ///< Of the relay that does while there is no holder; empty: none.
-  EndpointLimitsPtr limits;      ///< That endpoints have announced; null: none.
-  /// @brief Until then the holder hands out permits for endpoints with limits, after that its
-  /// deputy.
+  QuotaWordPtr quota;            ///< Customer balances; null before the first are received.
+  std::string quota_holder;      ///< Address of the holder, which grants more; empty: unknown.
+  std::string
+      quota_relay;  ///< Address of the relay that grants while there is no holder; empty: none.
+  EndpointLimitsPtr limits;  ///< Limits announced by endpoints; null: none.
+  /// @brief Until then the holder issues permits for endpoints with limits; afterwards its deputy
+  /// does.
   TimePoint holder_permits_until;
-  std::string deputy;             ///< Address of the holder's deputy; empty: not known.
-  LoadForecastPtr load_forecast;  ///< Null: no loads are forecast.
-  QuarantineListPtr quarantine;   ///< Requests that end the endpoints that run them; null: none.
+  std::string deputy;             ///< Address of the holder's deputy; empty: unknown.
+  LoadForecastPtr load_forecast;  ///< Null: no forecast.
+  QuarantineListPtr quarantine;   ///< Requests that crash the endpoints that run them; null: none.
 };
 
-/// @brief A view that nobody changes any more.
+/// @brief Shared pointer to an immutable view.
 /// @ingroup fleet
 using FleetViewPtr = std::shared_ptr<const FleetView>;
 
--- a/include/rudderloom/fleet/messages.hpp
+++ b/include/rudderloom/fleet/messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Everything that the fleet's control state is told, as typed messages.
+/// The input messages of the fleet's control state.
 #ifndef RUDDERLOOM_FLEET_MESSAGES_HPP
 #define RUDDERLOOM_FLEET_MESSAGES_HPP
 
@@ -18,105 +18,105 @@
 
 namespace rudderloom::fleet_message {
 
-/// @brief A configuration as the platform gave it.
+/// @brief A configuration read from the platform.
 /// @ingroup fleet
 struct RoutesSeen {
   RouteTablePtr routes;
 };
 
-/// @brief The platform's whole list of endpoints.
+/// @brief The platform's complete list of endpoints.
 /// @ingroup fleet
 struct EndpointsListed {
   std::vector<EndpointRecord> records;
   StoreRevision revision;
 };
 
-/// @brief What a watch of the platform's list told: all changes up to a revision of the store.
+/// @brief All changes of the platform's list up to a store revision, from a watch.
 /// @ingroup fleet
 struct EndpointsChanged {
   EndpointChanges changes;
 };
 
-/// @brief The lease's object as read; an empty record when there is none.
+/// @brief The lease object as read; empty when it does not exist.
 /// @ingroup fleet
 struct LeaseSeen {
   std::optional<LeaseRecord> record;
-  StoreRevision version;  ///< Without a record, the era alone.
-  bool fresh = true;      ///< False: it may be seconds old.
+  StoreRevision version;  ///< Only the era is set when there is no record.
+  bool fresh = true;      ///< False: the record may be seconds old.
 };
 
-/// @brief The lease's object could not be read.
+/// @brief The lease object could not be read.
 /// @ingroup fleet
 struct LeaseUnread {};
 
-/// @brief A write of the lease ended; without a version it failed, or nobody knows.
+/// @brief A write of the lease has ended; without a version it failed or its outcome is unknown.
 /// @ingroup fleet
 struct LeaseWritten {
   std::optional<StoreRevision> version;
 };
 
-/// @brief What this node runs and is asked for.
+/// @brief This node's own running and waiting requests.
 /// @ingroup fleet
 struct NodeSampled {
   NodeCounts counts;
 };
 
-/// @brief What another node runs and is asked for, as it told this one.
+/// @brief The counts that another node reported to this one.
 /// @ingroup fleet
 struct PeerCounted {
   NodeCounts counts;
 };
 
-/// @brief The answer to this node's counts.
+/// @brief The answer to this node's report of its counts.
 /// @ingroup fleet
 struct DigestHeard {
   HolderDigest digest;
   std::string from;                 ///< Address of the node that answered.
-  std::uint64_t report_number = 0;  ///< Of the counts.
+  std::uint64_t report_number = 0;  ///< Number of the report.
 };
 
-/// @brief A node did not answer this node's counts.
+/// @brief A report of this node's counts was not answered.
 /// @ingroup fleet
 struct ReportFailed {
-  std::string to;                   ///< Its address.
-  std::uint64_t report_number = 0;  ///< Of the counts.
+  std::string to;                   ///< Address of the node that did not answer.
+  std::uint64_t report_number = 0;  ///< Number of the report.
 };
 
-/// @brief This node, as the holder of the lease, let a customer's request run at another node.
+/// @brief As the lease holder, this node granted a customer's request at another node.
 /// @ingroup fleet
 struct RequestGranted {
   SpendGrant grant;
 };
 
-/// @brief The store has just confirmed the configuration in force here.
+/// @brief The store has just confirmed the configuration in force on this node.
 /// @ingroup fleet
 struct RoutesConfirmed {};
 
-/// @brief An engine's report; empty when it gave none.
+/// @brief An engine's report; empty when the engine did not answer with one.
 /// @ingroup fleet
 struct EngineReported {
   std::string instance;
   std::optional<EngineReport> report;
 };
 
-/// @brief What came of an order.
+/// @brief The outcome of an order.
 /// @ingroup fleet
 struct OrderEnded {
   PlacementOrder order;
   PlacementOutcome outcome = PlacementOutcome::kUnknown;
 };
 
-/// @brief A planned stop begins.
+/// @brief A planned shutdown begins.
 /// @ingroup fleet
 struct StopAsked {};
 
-/// @brief Time passed.
+/// @brief A timer tick.
 /// @ingroup fleet
 struct Tick {
-  std::optional<TimePoint> due;  ///< When the timer was set to end, where that matters.
+  std::optional<TimePoint> due;  ///< When the timer was due, if the lag is to be measured.
 };
 
-/// @brief Any of them.
+/// @brief Any message to the control state.
 /// @ingroup fleet
 using Any = std::variant<RoutesSeen,
                          EndpointsListed,
--- a/src/rudderloom/fleet/control_lag.cpp
+++ b/src/rudderloom/fleet/control_lag.cpp
@@ -6,22 +6,22 @@
 
 namespace {
 
-// Long enough that one long task is no overload.
-constexpr double kMeanOverMilliseconds = 1'000.0;
-// Reports of engines and nodes are some 250 ms old: from here on, decisions rest on facts twice as
-// old. Holders with 0.5 of a core beside 85 nodes stay below 100 ms; slowed 8 times, they reach 235
-// to 713 ms.
-constexpr Duration kOverloadedFrom{200};
+// Averaging window, long enough that a single long task does not count as overload.
+constexpr double kMeanWindowMilliseconds = 1'000.0;
+// Reports of engines and nodes are about 250 ms old; from this lag on, decisions rest on data twice
+// as old. Holders with 0.5 of a core beside 85 nodes stay below 100 ms; slowed down 8 times, they
+// reach 235 to 713 ms.
+constexpr Duration kOverloadThreshold{200};
 
 }  // namespace
 
-// A tick stands for the time since the one before it was due: of many ticks that wait behind one
-// long task, each counts, and a pause of the whole process, in which none is due, does not.
-void ControlLag::Handled(TimePoint due, TimePoint now) {
+// A tick is weighted by the time since the previous tick was due: of many ticks queued behind one
+// long task each counts, while a pause of the whole process, in which no tick is due, does not.
+void ControlLag::RecordTick(TimePoint due, TimePoint now) {
   const auto lag = static_cast<double>(Between(due, now).count());
   if (last_due_) {
-    const auto stands_for = static_cast<double>(Between(*last_due_, due).count());
-    const double weight = 1.0 - std::exp(-stands_for / kMeanOverMilliseconds);
+    const auto since_last_due = static_cast<double>(Between(*last_due_, due).count());
+    const double weight = 1.0 - std::exp(-since_last_due / kMeanWindowMilliseconds);
     mean_milliseconds_ += (lag - mean_milliseconds_) * weight;
   }
   last_due_ = due;
@@ -32,7 +32,7 @@
 }
 
 bool ControlLag::Overloaded() const {
-  return Mean() >= kOverloadedFrom;
+  return Mean() >= kOverloadThreshold;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/fleet/counts_inbox_test.cpp
+++ b/src/rudderloom/fleet/counts_inbox_test.cpp
@@ -14,14 +14,14 @@
   return counts;
 }
 
-TEST_CASE("a thousand reports of two nodes leave two entries, with nothing lost of what came in") {
+TEST_CASE("a thousand reports of two nodes leave two entries, and no offered work is lost") {
   CountsInbox inbox;
-  int told = 0;
+  int notifications = 0;
   for (std::uint32_t i = 1; i <= 500; ++i) {
-    told += inbox.Put(Counts("n1", i, 10)) ? 1 : 0;
-    told += inbox.Put(Counts("n2", 2 * i, 1)) ? 1 : 0;
+    notifications += inbox.Put(Counts("n1", i, 10)) ? 1 : 0;
+    notifications += inbox.Put(Counts("n2", 2 * i, 1)) ? 1 : 0;
   }
-  CHECK(told == 1);
+  CHECK(notifications == 1);
   const std::vector<NodeCounts> taken = inbox.TakeAll();
   REQUIRE(taken.size() == 2);
   CHECK(taken[0].units.at(kUnit) == UnitCount{500, 0, Duration(5'000)});
--- a/src/rudderloom/fleet/endpoint_directory.cpp
+++ b/src/rudderloom/fleet/endpoint_directory.cpp
@@ -7,13 +7,13 @@
 
 namespace {
 
-// Endpoints whose entries the platform has lost write them again within about two seconds.
-constexpr Duration kWrittenAgainWithin{2'500};
-// An entry that nobody renews lapses after three heartbeats, at the most some seconds.
-constexpr Duration kLapsesWithin{5'000};
-// Older copies of the platform's list are not expected.
-constexpr Duration kEndedKeptFor{60'000};
-constexpr std::size_t kEndedKept = 4'096;
+// Endpoints write lost entries again within about two seconds.
+constexpr Duration kRewriteTimeout{2'500};
+// An entry that is not renewed lapses after three heartbeats, a few seconds at most.
+constexpr Duration kEntryLapseTimeout{5'000};
+// Restores from backups older than this are not expected.
+constexpr Duration kTombstoneRetention{60'000};
+constexpr std::size_t kMaxTombstones = 4'096;
 
 }  // namespace
 
@@ -33,43 +33,44 @@
   return found == models.end() ? nullptr : &*found;
 }
 
-void EndpointDirectory::Listed(const std::vector<EndpointRecord>& records,
-                               ListKind kind,
-                               TimePoint now) {
+void EndpointDirectory::ApplyList(const std::vector<EndpointRecord>& records,
+                                  ListKind kind,
+                                  TimePoint now) {
   std::set<std::string> listed;
   for (const EndpointRecord& record : records) {
     listed.insert(record.instance);
-    if (kind == ListKind::kCopy) {
-      TakeFromCopy(record, now);
-    } else if (!doubted_.contains(record.instance)) {
+    if (kind == ListKind::kFromBackup) {
+      PutFromBackup(record, now);
+    } else if (!unconfirmed_.contains(record.instance)) {
       Put(record);
     }
   }
-  std::erase_if(doubted_, [&](const auto& entry) { return !listed.contains(entry.first); });
+  std::erase_if(unconfirmed_, [&](const auto& entry) { return !listed.contains(entry.first); });
   for (auto& [instance, known] : endpoints_) {
     if (listed.contains(instance) || known.gone_at) {
       continue;
     }
-    if (kind == ListKind::kCopy) {
-      known.awaited_until = now + kWrittenAgainWithin;
-    } else if (!known.awaited_until) {
+    if (kind == ListKind::kFromBackup) {
+      known.rewrite_awaited_until = now + kRewriteTimeout;
+    } else if (!known.rewrite_awaited_until) {
       known.gone_at = now;
     }
   }
 }
 
-void EndpointDirectory::TakeFromCopy(const EndpointRecord& record, TimePoint now) {
+void EndpointDirectory::PutFromBackup(const EndpointRecord& record, TimePoint now) {
   const auto known = endpoints_.find(record.instance);
   const bool is_gone = known != endpoints_.end() && known->second.gone_at;
-  if (is_gone || ended_.contains(record.instance)) {
-    doubted_[record.instance] = {record, now + kLapsesWithin};
+  if (is_gone || tombstones_.contains(record.instance)) {
+    unconfirmed_[record.instance] = {record, now + kEntryLapseTimeout};
   } else {
     Put(record);
   }
 }
 
-// Its earlier lives are over: what they held, and whether they were leaving, says nothing of it.
-void EndpointDirectory::ForgetEarlierLives(const EndpointRecord& record) {
+// Earlier instances have ended: their models and whether they were leaving do not apply to the new
+// one.
+void EndpointDirectory::RemoveEarlierInstances(const EndpointRecord& record) {
   std::erase_if(endpoints_, [&](const auto& entry) {
     const EndpointRecord& known = entry.second.record;
     return known.id == record.id && known.born < record.born;
@@ -78,20 +79,20 @@
 
 void EndpointDirectory::Put(const EndpointRecord& record) {
   if (record.born != 0 && !endpoints_.contains(record.instance)) {
-    ForgetEarlierLives(record);
+    RemoveEarlierInstances(record);
   }
-  doubted_.erase(record.instance);
-  if (const auto ended = ended_.find(record.instance); ended != ended_.end()) {
-    EndpointRecord again = record;
-    again.leaving = again.leaving || ended->second.leaving;
-    ended_.erase(ended);
-    Put(again);
+  unconfirmed_.erase(record.instance);
+  if (const auto tombstone = tombstones_.find(record.instance); tombstone != tombstones_.end()) {
+    EndpointRecord restored = record;
+    restored.leaving = restored.leaving || tombstone->second.leaving;
+    tombstones_.erase(tombstone);
+    Put(restored);
     return;
   }
   KnownEndpoint& known = endpoints_[record.instance];
   const bool was_leaving = known.record.leaving;
-  // A count lower than the entry's own before is that of a process that started again without
-  // saying so; one that is lower only than a report's is older than that.
+  // A count below that of the previous entry means that the process restarted without announcing
+  // it; a count that is only below that of a report means that the entry is older than the report.
   const bool fell = record.tells_models && record.orders_taken < known.listed_orders;
   const bool older =
       !record.tells_models || (record.orders_taken < known.record.orders_taken && !fell);
@@ -100,8 +101,8 @@
   const std::uint64_t orders_taken = known.record.orders_taken;
   known.record = record;
   known.gone_at.reset();
-  known.awaited_until.reset();
-  // An endpoint never comes back from leaving, and an entry may be older than a report.
+  known.rewrite_awaited_until.reset();
+  // An endpoint never returns from leaving, and an entry may be older than a report.
   known.record.leaving = known.record.leaving || was_leaving;
   if (older) {
     known.record.models = std::move(models);
@@ -109,23 +110,23 @@
   }
 }
 
-void EndpointDirectory::Gone(const std::string& instance, TimePoint now) {
-  doubted_.erase(instance);
+void EndpointDirectory::MarkUnlisted(const std::string& instance, TimePoint now) {
+  unconfirmed_.erase(instance);
   const auto found = endpoints_.find(instance);
   if (found != endpoints_.end() && !found->second.gone_at) {
     found->second.gone_at = now;
   }
 }
 
-void EndpointDirectory::Serves(const std::string& instance,
-                               const std::vector<ResidentModel>& models) {
+void EndpointDirectory::SetServedModels(const std::string& instance,
+                                        const std::vector<ResidentModel>& models) {
   const auto found = endpoints_.find(instance);
   if (found != endpoints_.end()) {
     found->second.record.models = models;
   }
 }
 
-bool EndpointDirectory::Reported(const std::string& instance, const EngineReport& report) {
+bool EndpointDirectory::ApplyReport(const std::string& instance, const EngineReport& report) {
   const auto found = endpoints_.find(instance);
   if (found == endpoints_.end()) {
     return false;
@@ -141,29 +142,29 @@
 }
 
 bool EndpointDirectory::Expire(TimePoint now) {
-  const bool awaited = ExpireAwaited(now);
-  const bool doubted = ExpireDoubted(now);
-  const bool gone = ExpireGone(now);
-  ForgetEnded(now);
-  return awaited || doubted || gone;
+  const bool awaited_expired = ExpireAwaitedRewrites(now);
+  const bool unconfirmed_expired = ExpireUnconfirmed(now);
+  const bool unlisted_expired = ExpireUnlisted(now);
+  ExpireTombstones(now);
+  return awaited_expired || unconfirmed_expired || unlisted_expired;
 }
 
-bool EndpointDirectory::ExpireGone(TimePoint now) {
+bool EndpointDirectory::ExpireUnlisted(TimePoint now) {
   return std::erase_if(endpoints_, [&](const auto& entry) {
            const KnownEndpoint& known = entry.second;
-           if (!known.gone_at || now - *known.gone_at < keep_gone_) {
+           if (!known.gone_at || now - *known.gone_at < unlisted_retention_) {
              return false;
            }
-           ended_[entry.first] = {now, known.record.leaving};
+           tombstones_[entry.first] = {now, known.record.leaving};
            return true;
          }) > 0;
 }
 
-bool EndpointDirectory::ExpireAwaited(TimePoint now) {
+bool EndpointDirectory::ExpireAwaitedRewrites(TimePoint now) {
   bool any = false;
   for (auto& [instance, known] : endpoints_) {
-    if (known.awaited_until && now >= *known.awaited_until) {
-      known.awaited_until.reset();
+    if (known.rewrite_awaited_until && now >= *known.rewrite_awaited_until) {
+      known.rewrite_awaited_until.reset();
       known.gone_at = now;
       any = true;
     }
@@ -171,11 +172,11 @@
   return any;
 }
 
-bool EndpointDirectory::ExpireDoubted(TimePoint now) {
+bool EndpointDirectory::ExpireUnconfirmed(TimePoint now) {
   std::vector<EndpointRecord> alive;
-  for (const auto& [instance, doubted] : doubted_) {
-    if (now >= doubted.until) {
-      alive.push_back(doubted.record);
+  for (const auto& [instance, unconfirmed] : unconfirmed_) {
+    if (now >= unconfirmed.until) {
+      alive.push_back(unconfirmed.record);
     }
   }
   for (const EndpointRecord& record : alive) {
@@ -184,11 +185,12 @@
   return !alive.empty();
 }
 
-void EndpointDirectory::ForgetEnded(TimePoint now) {
-  std::erase_if(ended_, [&](const auto& entry) { return now - entry.second.at >= kEndedKeptFor; });
-  while (ended_.size() > kEndedKept) {
-    ended_.erase(std::min_element(
-        ended_.begin(), ended_.end(),
+void EndpointDirectory::ExpireTombstones(TimePoint now) {
+  std::erase_if(tombstones_,
+                [&](const auto& entry) { return now - entry.second.at >= kTombstoneRetention; });
+  while (tombstones_.size() > kMaxTombstones) {
+    tombstones_.erase(std::min_element(
+        tombstones_.begin(), tombstones_.end(),
         [](const auto& left, const auto& right) { return left.second.at < right.second.at; }));
   }
 }
--- a/src/rudderloom/fleet/fleet_actor.cpp
+++ b/src/rudderloom/fleet/fleet_actor.cpp
@@ -11,14 +11,14 @@
 
 namespace {
 
-// Counts of other nodes wait in the inbox.
+// Notifies the actor that counts of other nodes are waiting in the inbox.
 struct InboxFilled {};
 
 }  // namespace
 
 }  // namespace rudderloom
 
-// Messages stay inside one process, so they are never serialized.
+// Messages never leave the process, so they are never serialized.
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(rudderloom::fleet_message::Any)
 CAF_ALLOW_UNSAFE_MESSAGE_TYPE(rudderloom::InboxFilled)
 
@@ -26,27 +26,27 @@
 
 namespace {
 
-struct Keeper {
+struct StateOwner {
   FleetState state;
   std::function<void(FleetEffects)> sink;
   CountsInbox inbox;
 
-  Keeper(FleetState initial, std::function<void(FleetEffects)> taker)
-      : state(std::move(initial)), sink(std::move(taker)) {}
+  StateOwner(FleetState initial, std::function<void(FleetEffects)> effects_sink)
+      : state(std::move(initial)), sink(std::move(effects_sink)) {}
 
-  void Take(const fleet_message::Any& message) { sink(state.Handle(message, Now())); }
+  void Handle(const fleet_message::Any& message) { sink(state.Handle(message, Now())); }
 };
 
-caf::behavior Behave(caf::event_based_actor*, const std::shared_ptr<Keeper>& keeper) {
-  return {[keeper](const fleet_message::Any& message) { keeper->Take(message); },
-          [keeper](InboxFilled) {
-            for (NodeCounts& counts : keeper->inbox.TakeAll()) {
-              keeper->Take(fleet_message::PeerCounted{std::move(counts)});
+caf::behavior MakeBehavior(caf::event_based_actor*, const std::shared_ptr<StateOwner>& owner) {
+  return {[owner](const fleet_message::Any& message) { owner->Handle(message); },
+          [owner](InboxFilled) {
+            for (NodeCounts& counts : owner->inbox.TakeAll()) {
+              owner->Handle(fleet_message::PeerCounted{std::move(counts)});
             }
           }};
 }
 
-// The control state has a thread of its own, so CAF's scheduler needs no more than one.
+// The control state has its own thread, so CAF's scheduler needs only one.
 caf::actor_system_config& Config() {
   static caf::actor_system_config config;
   config.set("scheduler.max-threads", 1);
@@ -56,12 +56,12 @@
 }  // namespace
 
 struct FleetActor::Impl {
-  explicit Impl(std::shared_ptr<Keeper> kept)
-      : keeper(std::move(kept)),
+  explicit Impl(std::shared_ptr<StateOwner> state_owner)
+      : owner(std::move(state_owner)),
         system(Config()),
-        actor(system.spawn<caf::detached>(Behave, keeper)) {}
+        actor(system.spawn<caf::detached>(MakeBehavior, owner)) {}
 
-  std::shared_ptr<Keeper> keeper;
+  std::shared_ptr<StateOwner> owner;
   caf::actor_system system;
   caf::actor actor;
 };
@@ -70,8 +70,8 @@
                        std::string incarnation,
                        std::function<void(FleetEffects)> sink)
     : impl_(std::make_unique<Impl>(
-          std::make_shared<Keeper>(FleetState(std::move(settings), std::move(incarnation)),
-                                   std::move(sink)))) {}
+          std::make_shared<StateOwner>(FleetState(std::move(settings), std::move(incarnation)),
+                                       std::move(sink)))) {}
 
 FleetActor::~FleetActor() {
   caf::anon_send_exit(impl_->actor, caf::exit_reason::user_shutdown);
@@ -83,7 +83,7 @@
     caf::anon_send(impl_->actor, std::move(message));
     return;
   }
-  if (impl_->keeper->inbox.Put(std::move(counted->counts))) {
+  if (impl_->owner->inbox.Put(std::move(counted->counts))) {
     caf::anon_send(impl_->actor, InboxFilled{});
   }
 }
--- a/src/rudderloom/fleet/fleet_dissemination_test.cpp
+++ b/src/rudderloom/fleet/fleet_dissemination_test.cpp
@@ -1,9 +1,9 @@
-// Load: a fleet in which every node needs what the store and the holder of the lease know, at its
-// start, while it is calm, and when nodes that others rely on are lost. Asked for: calls to the
-// store and reports to one node that do not grow with the fleet, changes known everywhere in time,
-// and nothing that goes back.
-// Grounds for the bounds: drains and configurations have 4 s; a takeover of the lease takes about
-// 2 s; calls that fail end after 1 s.
+// Load tests of a fleet in which every node needs the state of the store and of the lease holder:
+// at startup, in normal operation, and when nodes that others rely on fail. Checks that calls to
+// the store and reports to one node do not grow with the fleet, that changes reach all nodes in
+// time, and that no node returns to an older state.
+// Bounds: drains and configurations have 4 s; a takeover of the lease takes about 2 s; failed calls
+// end after 1 s.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include "fakes/fleet_world.hpp"  // for FleetWorld
@@ -14,24 +14,27 @@
 using fakes::FleetWorld;
 using fakes::FleetWorldOptions;
 
-constexpr int kBound = 4'000;
+constexpr int kChangeBound = 4'000;
 
-// Nodes that live and are in touch, but for one.
+// Checks all running and connected nodes except one.
 template <class Check>
-bool All(const FleetWorld& world, int but, Check check) {
+bool AllExcept(const FleetWorld& world, int excluded, Check check) {
   for (int i = 0; i < world.Nodes(); ++i) {
-    if (world.Alive(i) && i != but && !check(i)) {
+    if (world.Alive(i) && i != excluded && !check(i)) {
       return false;
     }
   }
   return true;
 }
 
-// How long it takes until all nodes but one have this configuration; `limit` when not in time.
-int SpreadTime(FleetWorld& world, std::uint64_t version, int but = -1, int limit = 2 * kBound) {
+// Time until all nodes except one have this configuration; `limit` when it takes longer.
+int SpreadTime(FleetWorld& world,
+               std::uint64_t version,
+               int excluded = -1,
+               int limit = 2 * kChangeBound) {
   const int from = world.Now();
   while (world.Now() - from < limit) {
-    if (All(world, but, [&](int i) { return world.RoutesVersionOf(i) >= version; })) {
+    if (AllExcept(world, excluded, [&](int i) { return world.RoutesVersionOf(i) >= version; })) {
       return world.Now() - from;
     }
     world.Play(50);
@@ -39,21 +42,21 @@
   return limit;
 }
 
-// How long nodes still send to an endpoint that has said to leave.
-int DrainTime(FleetWorld& world, const std::string& instance, int but = -1) {
+// Time during which nodes still send to an endpoint that is leaving.
+int DrainTime(FleetWorld& world, const std::string& instance, int excluded = -1) {
   const int from = world.Now();
   world.PutEndpoint(instance, true);
-  while (world.Now() - from < 2 * kBound) {
-    if (All(world, but, [&](int i) { return !world.Sends(i, instance); })) {
+  while (world.Now() - from < 2 * kChangeBound) {
+    if (AllExcept(world, excluded, [&](int i) { return !world.Sends(i, instance); })) {
       return world.Now() - from;
     }
     world.Play(50);
   }
-  return 2 * kBound;
+  return 2 * kChangeBound;
 }
 
 // A relay other than the holder: a node that others report to.
-int SomeRelay(const FleetWorld& world) {
+int FindRelay(const FleetWorld& world) {
   for (int i = 0; i < world.Nodes(); ++i) {
     if (world.Alive(i) && world.Holder() != i && world.ReportsTo(i) > 0) {
       return i;
@@ -62,7 +65,7 @@
   return -1;
 }
 
-FleetWorldOptions Large() {
+FleetWorldOptions LargeFleet() {
   FleetWorldOptions options;
   options.nodes = 96;
   options.zones = 3;
@@ -70,21 +73,21 @@
   return options;
 }
 
-TEST_CASE("a first start of the whole fleet calls the store a few times a node, not for lists") {
-  FleetWorld world(Large());
+TEST_CASE("a first start of the whole fleet makes few store calls per node, and few lists") {
+  FleetWorld world(LargeFleet());
   world.Play(6'000);
   REQUIRE(world.Holder());
   MESSAGE("lists ", world.Calls().lists, " watches ", world.Calls().watches, " lease ",
           world.Calls().lease);
-  CHECK(All(world, -1, [&](int i) { return world.RoutesVersionOf(i) == 1; }));
-  CHECK(All(world, -1, [&](int i) { return world.Sends(i, "e1"); }));
-  // 96 nodes that each list two kinds and read the lease twice would make 400 calls and more.
+  CHECK(AllExcept(world, -1, [&](int i) { return world.RoutesVersionOf(i) == 1; }));
+  CHECK(AllExcept(world, -1, [&](int i) { return world.Sends(i, "e1"); }));
+  // If each of 96 nodes listed two kinds and read the lease twice, they would make over 400 calls.
   CHECK(world.Calls().lists <= 20);
   CHECK(world.Calls().All() <= 140);
 }
 
-TEST_CASE("a calm fleet calls the store no more often than a few nodes would") {
-  FleetWorld world(Large());
+TEST_CASE("an idle fleet calls the store no more often than a few nodes would") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   const double before = world.Calls().All();
   world.Play(10'000);
@@ -92,12 +95,12 @@
   CHECK(world.Calls().All() - before <= 80);
 }
 
-TEST_CASE("the holder hears relays, and no relay hears more nodes than its group and a half") {
-  FleetWorld world(Large());
+TEST_CASE("only relays report to the holder, and at most one and a half groups to a relay") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   const auto holder = world.Holder();
   REQUIRE(holder);
-  // 14 relays report ten times a second; 96 nodes would report 400 times.
+  // 14 relays report ten times a second; 96 nodes that report directly would make 400 reports.
   MESSAGE("reports to the holder a second ", world.ReportsTo(*holder));
   CHECK(world.ReportsTo(*holder) <= 180);
   for (int i = 0; i < world.Nodes(); ++i) {
@@ -107,8 +110,8 @@
   }
 }
 
-TEST_CASE("a holder with little processor time is told less often") {
-  FleetWorldOptions options = Large();
+TEST_CASE("a holder with little processor time gets fewer reports") {
+  FleetWorldOptions options = LargeFleet();
   options.large_in_zone = 0;
   FleetWorld world(options);
   world.Play(10'000);
@@ -120,8 +123,8 @@
   CHECK(SpreadTime(world, 5) <= 2'000);
 }
 
-TEST_CASE("changes are known everywhere in time, and cost no call for each node") {
-  FleetWorld world(Large());
+TEST_CASE("changes reach all nodes in time, without a store call per node") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   const double before = world.Calls().All();
   world.Configure(5);
@@ -134,8 +137,8 @@
   CHECK(world.Calls().All() - before <= 60);
 }
 
-TEST_CASE("when the holder dies the fleet does not ask the store, and changes stay in time") {
-  FleetWorld world(Large());
+TEST_CASE("when the holder dies the fleet does not read the store, and changes stay in time") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   const int holder = *world.Holder();
   const double before = world.Calls().All();
@@ -147,22 +150,22 @@
     world.Play(50);
   }
   MESSAGE("another holder after ", world.Now() - 8'000, " ms");
-  CHECK(spread <= kBound);
-  CHECK(All(world, -1, [&](int i) { return !world.Sends(i, "e2"); }));
+  CHECK(spread <= kChangeBound);
+  CHECK(AllExcept(world, -1, [&](int i) { return !world.Sends(i, "e2"); }));
   world.Play(4'000);
   REQUIRE(world.Holder());
   MESSAGE("configuration ", spread, " ms, calls ", world.Calls().All() - before);
-  // 95 nodes that list and watch two kinds would make 380 calls and more.
+  // If each of 95 nodes listed and watched two kinds, they would make over 380 calls.
   CHECK(world.Calls().All() - before <= 120);
 }
 
-TEST_CASE("when a relay dies, freezes or is cut off its members hear others soon") {
-  for (const bool silent : {false, true}) {
-    FleetWorld world(Large());
+TEST_CASE("when a relay dies, freezes or is cut off its members soon report to others") {
+  for (const bool cut_off : {false, true}) {
+    FleetWorld world(LargeFleet());
     world.Play(8'000);
-    const int relay = SomeRelay(world);
+    const int relay = FindRelay(world);
     REQUIRE(relay >= 0);
-    if (silent) {
+    if (cut_off) {
       world.CutFromNodes(relay, true);
     } else {
       world.Kill(relay);
@@ -175,8 +178,8 @@
   }
 }
 
-TEST_CASE("when all relays of a zone die at once the zone has others soon") {
-  FleetWorld world(Large());
+TEST_CASE("when all relays of a zone die at once the zone soon has others") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   for (int i = 0; i < world.Nodes(); i += 3) {
     if (world.ReportsTo(i) > 0 && world.Holder() != i) {
@@ -191,8 +194,8 @@
   CHECK(world.ReportsTo(*holder) <= 220);
 }
 
-TEST_CASE("after all processes died at once every node is of use within a second") {
-  FleetWorld world(Large());
+TEST_CASE("after all processes were killed at once every node serves within a second") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   for (int i = 0; i < world.Nodes(); ++i) {
     world.Kill(i);
@@ -203,17 +206,17 @@
     world.Start(i);
   }
   world.Play(1'000);
-  CHECK(All(world, -1, [&](int i) { return world.Sends(i, "e1"); }));
-  CHECK(All(world, -1, [&](int i) { return world.RoutesVersionOf(i) == 1; }));
+  CHECK(AllExcept(world, -1, [&](int i) { return world.Sends(i, "e1"); }));
+  CHECK(AllExcept(world, -1, [&](int i) { return world.RoutesVersionOf(i) == 1; }));
   world.Play(9'000);
   REQUIRE(world.Holder());
   MESSAGE("calls ", world.Calls().All() - before);
-  // Two lists a node are the price of being of use at once.
+  // Each node makes two lists so that it can serve requests at once.
   CHECK(world.Calls().All() - before <= 2.0 * world.Nodes() + 150);
 }
 
-TEST_CASE("a store that is down costs no call a node and second, and is heard of when it returns") {
-  FleetWorld world(Large());
+TEST_CASE("a store outage costs no call per node and second, and its end is noticed") {
+  FleetWorld world(LargeFleet());
   world.Play(8'000);
   const double before = world.Calls().All();
   world.SetStoreDown(true);
@@ -222,11 +225,11 @@
   CHECK(world.Calls().All() - before <= 300);
   world.SetStoreDown(false);
   world.Configure(5);
-  CHECK(SpreadTime(world, 5, -1, 3 * kBound) <= 2 * kBound);
+  CHECK(SpreadTime(world, 5, -1, 3 * kChangeBound) <= 2 * kChangeBound);
 }
 
-// Each pair of faults at two moments, in a small fleet: nothing goes back, and a change made during
-// them is known at all nodes that are in touch within the bound after the last one.
+// Each pair of faults at two moments, in a small fleet: no node returns to an older state, and a
+// change made during the faults reaches all connected nodes within the bound after the last one.
 TEST_CASE("any two faults, in any order") {
   using Fault = void (*)(FleetWorld&, int);
   const std::vector<Fault> faults{
@@ -236,37 +239,37 @@
       [](FleetWorld& world, int node) { world.CutFromNodes(node, true); },
   };
   const auto victim = [](const FleetWorld& world, int which) {
-    return which == 0 ? world.Holder().value_or(0) : SomeRelay(world);
+    return which == 0 ? world.Holder().value_or(0) : FindRelay(world);
   };
   int schedules = 0;
   for (const Fault first : faults) {
     for (const Fault second : faults) {
-      for (int whom = 0; whom < 4; ++whom) {
+      for (int victims = 0; victims < 4; ++victims) {
         for (const int pause : {0, 300, 1'200, 2'500}) {
           FleetWorldOptions options;
           options.nodes = 14;
           options.group_size = 3;
           FleetWorld world(options);
           world.Play(5'000);
-          const int one = victim(world, whom % 2);
-          REQUIRE(one >= 0);
-          first(world, one);
+          const int first_victim = victim(world, victims % 2);
+          REQUIRE(first_victim >= 0);
+          first(world, first_victim);
           world.Play(pause + 5);
-          const int other = victim(world, whom / 2);
-          if (other >= 0) {
-            second(world, other);
+          const int second_victim = victim(world, victims / 2);
+          if (second_victim >= 0) {
+            second(world, second_victim);
           }
           world.Configure(5);
           const int from = world.Now();
           const auto in_force = [&](int i) {
-            return i == one || i == other || world.RoutesVersionOf(i) == 5;
+            return i == first_victim || i == second_victim || world.RoutesVersionOf(i) == 5;
           };
-          while (world.Now() - from < 2 * kBound && !All(world, -1, in_force)) {
+          while (world.Now() - from < 2 * kChangeBound && !AllExcept(world, -1, in_force)) {
             world.Play(50);
           }
-          CAPTURE(whom);
+          CAPTURE(victims);
           CAPTURE(pause);
-          CHECK(world.Now() - from <= kBound);
+          CHECK(world.Now() - from <= kChangeBound);
           CHECK(world.WentBack() == 0);
           ++schedules;
         }
--- a/src/rudderloom/fleet/fleet_endpoints.cpp
+++ b/src/rudderloom/fleet/fleet_endpoints.cpp
@@ -1,4 +1,4 @@
-// What the control state believes of the endpoints, from the store or from the holder of the lease.
+// The control state's view of the endpoints, from the store or from the lease holder.
 #include "rudderloom/base/log_line.hpp"      // for LogLine
 #include "rudderloom/fleet/fleet_state.hpp"  // for FleetState
 
@@ -6,10 +6,10 @@
 
 namespace {
 
-constexpr Duration kLogIgnoredEvery{1'000};
+constexpr Duration kIgnoredLogInterval{1'000};
 
-std::string_view NameOf(EndpointTeller teller) {
-  return teller == EndpointTeller::kStore ? "store" : "holder";
+std::string_view NameOf(EndpointOrigin origin) {
+  return origin == EndpointOrigin::kStore ? "store" : "holder";
 }
 
 EndpointRecord WithoutModels(EndpointRecord record) {
@@ -19,8 +19,9 @@
   return record;
 }
 
-// Each order changes an entry's models. Told to every other node beside the change of what may be
-// served, such entries made up a good part of the holder's answers while models moved.
+// Each order changes the models of an entry. When such entries were sent to every other node in
+// addition to the changes of the models to serve, they made up a large part of the holder's answers
+// while models were moved.
 EndpointChanges WithoutModels(EndpointChanges changes) {
   for (auto& [instance, record] : changes.values) {
     record = WithoutModels(std::move(record));
@@ -30,10 +31,10 @@
 
 }  // namespace
 
-// A log that is already further knows better than whoever told these changes.
-void FleetState::TakeEndpoints(const EndpointChanges& changes,
-                               EndpointTeller teller,
-                               TimePoint now) {
+// A log that is already at a later revision ignores the changes.
+void FleetState::ApplyEndpointChanges(const EndpointChanges& changes,
+                                      EndpointOrigin origin,
+                                      TimePoint now) {
   if (changes.version != StoreRevision()) {
     NoteEra(changes.version.Era());
   }
@@ -47,43 +48,43 @@
     for (const auto& [instance, record] : changes.values) {
       records.push_back(record);
     }
-    TakeList(records, kind, teller, now);
+    ApplyEndpointList(records, kind, origin, now);
     return;
   }
   for (const auto& [instance, record] : changes.values) {
-    TakeRecord(record, teller);
+    ApplyEndpointRecord(record, origin);
   }
   for (const std::string& instance : changes.gone) {
-    TakeGone(instance, teller, now);
+    ApplyEndpointRemoval(instance, origin, now);
   }
 }
 
-// The first list of a later era is of the copy that the store came back from.
+// The first list of a later era comes from the backup that the store was restored from.
 ListKind FleetState::ListKindOf(const StoreRevision& revision) const {
   const bool later = revision.Era() > endpoint_log_.Get().Version().Era();
-  return endpoints_known_ && later ? ListKind::kCopy : ListKind::kPresent;
+  return endpoints_known_ && later ? ListKind::kFromBackup : ListKind::kUpToDate;
 }
 
-// Another node may hear of a later era sooner: calls of this one that wait may not tell it.
+// Another node may learn of a later era first: this node's pending watches may never report it.
 void FleetState::NoteEra(std::uint64_t era) {
-  era_rose_ = era_rose_ || (store_era_ && era > *store_era_);
+  era_advanced_ = era_advanced_ || (store_era_ && era > *store_era_);
   if (!store_era_ || era > *store_era_) {
     store_era_ = era;
-    era_is_news_ = true;
+    era_unannounced_ = true;
   }
 }
 
-void FleetState::TakeList(const std::vector<EndpointRecord>& records,
-                          ListKind kind,
-                          EndpointTeller teller,
-                          TimePoint now) {
-  directory_.Listed(records, kind, now);
+void FleetState::ApplyEndpointList(const std::vector<EndpointRecord>& records,
+                                   ListKind kind,
+                                   EndpointOrigin origin,
+                                   TimePoint now) {
+  directory_.ApplyList(records, kind, now);
   endpoints_known_ = true;
-  ChangedForTraffic();
+  MarkViewUrgent();
   LogLine("endpoints_listed")
       .With("count", records.size())
-      .With("source", NameOf(teller))
-      .With("of_copy", kind == ListKind::kCopy ? "yes" : "no")
+      .With("source", NameOf(origin))
+      .With("restored", kind == ListKind::kFromBackup ? "yes" : "no")
       .With("revision", TextOf(endpoint_log_.Get().Version()));
 }
 
@@ -95,12 +96,12 @@
   if (changed.changes.version.Era() == known.Era()) {
     endpoint_source_.Confirmed(now);
   }
-  TakeEndpoints(changed.changes, EndpointTeller::kStore, now);
+  ApplyEndpointChanges(changed.changes, EndpointOrigin::kStore, now);
 }
 
-// The store's answer is older than what this node has heard from it or from the holder since.
+// The store's answer is older than what this node has since received from the store or the holder.
 void FleetState::LogEndpointsIgnored(const StoreRevision& revision, TimePoint now) {
-  if (now - endpoints_ignored_logged_at_ < kLogIgnoredEvery) {
+  if (now - endpoints_ignored_logged_at_ < kIgnoredLogInterval) {
     return;
   }
   endpoints_ignored_logged_at_ = now;
@@ -125,30 +126,32 @@
     by_instance.emplace(record.instance, WithoutModels(record));
   }
   endpoint_log_.Change().Replace(by_instance, listed.revision);
-  TakeList(listed.records, kind, EndpointTeller::kStore, now);
+  ApplyEndpointList(listed.records, kind, EndpointOrigin::kStore, now);
 }
 
-void FleetState::TakeRecord(const EndpointRecord& record, EndpointTeller teller) {
+void FleetState::ApplyEndpointRecord(const EndpointRecord& record, EndpointOrigin origin) {
   const auto found = directory_.Endpoints().find(record.instance);
   const bool news =
       found == directory_.Endpoints().end() || found->second.record.leaving != record.leaving;
   directory_.Put(record);
-  changed_ = true;
+  view_changed_ = true;
   if (news) {
-    ChangedForTraffic();
+    MarkViewUrgent();
     LogLine("endpoint_changed")
         .With("endpoint", record.instance)
         .With("service", record.service)
         .With("address", record.address)
         .With("leaving", record.leaving ? "yes" : "no")
-        .With("source", NameOf(teller));
+        .With("source", NameOf(origin));
   }
 }
 
-void FleetState::TakeGone(const std::string& instance, EndpointTeller teller, TimePoint now) {
-  directory_.Gone(instance, now);
-  ChangedForTraffic();
-  LogLine("endpoint_gone").With("endpoint", instance).With("source", NameOf(teller));
+void FleetState::ApplyEndpointRemoval(const std::string& instance,
+                                      EndpointOrigin origin,
+                                      TimePoint now) {
+  directory_.MarkUnlisted(instance, now);
+  MarkViewUrgent();
+  LogLine("endpoint_gone").With("endpoint", instance).With("source", NameOf(origin));
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/fleet/fleet_lease.cpp
+++ b/src/rudderloom/fleet/fleet_lease.cpp
@@ -1,4 +1,4 @@
-// What the control state does about the lease: looks at it, takes, renews and gives it up.
+// Lease handling of the control state: reads, takes, renews and gives up the lease.
 #include <algorithm>  // for max
 
 #include "rudderloom/base/log_line.hpp"      // for LogLine
@@ -9,75 +9,76 @@
 
 namespace {
 
-// Between two fresh reads, which cost ten times a stale one.
-constexpr Duration kLeaseReadPause{150};
-// Between two stale reads at the start, before anything is known.
-constexpr Duration kLeaseFirstLooks{250};
-// In times of what a node lets others take the lease first; only then it reads freshly. A node with
-// 0.12 of a core waits 1.2 s, by which nodes with more have taken the lease and a stale read shows
-// it.
-constexpr int kStaleFirstYields = 4;
-// At the first start of the whole system nodes with the same processor time begin to read freshly
-// over this time: in a fleet of 295 alike, all of them tried to create the object.
-constexpr Duration kStartSpread{1'000};
-// Others than the holder look at the lease this often, at the price of a stale read.
-constexpr Duration kLeaseLookEvery{1'000};
-// So many nodes look at the lease at the full rate; more of them share it.
-constexpr std::uint32_t kLookingNodes = 8;
-// Without a word of the holder for so long, the lease is looked at more often.
-constexpr Duration kDoubtAfter{700};
-constexpr Duration kLeaseDoubtEvery{300};
-// Standbys see each renewal, which comes each second, soon enough to be ahead of all others.
-constexpr Duration kStandbyLookEvery{500};
-// Nodes that know of standbys let these go first for so long.
-constexpr Duration kYieldToStandbys{1'000};
-// Nodes that are too slow for the lease let all others go first: even those that know of standbys
-// have taken it by then, 0.5 to 0.7 s after it was given up as measured, 1.5 s at the most
-// expected.
-constexpr Duration kYieldOverloaded{2'000};
-// Not measured: what slows a node down lasts for seconds, and nobody needs it back soon.
-constexpr Duration kRestAfterResigning{10'000};
-// Taking the lease over is more work than holding it: all engines' reports and all nodes' counts
-// come at once. Also the least time between two handovers in a fleet that is short of time as a
-// whole. Not measured.
-constexpr Duration kHoldAtLeast{4'000};
-// Half of what makes a holder resign.
-constexpr Duration kLagLoggedFrom{100};
-constexpr Duration kLogLagEvery{1'000};
-constexpr Duration kLogIgnoredEvery{1'000};
+// Time between two fresh reads, which cost ten times as much as a stale one.
+constexpr Duration kFreshReadInterval{150};
+// Time between two stale reads at startup, before the lease is known.
+constexpr Duration kStartupReadInterval{250};
+// Multiple of a node's yield time during which it makes only stale reads at startup. A node with
+// 0.12 of a core waits 1.2 s; by then nodes with more processor time have taken the lease, and a
+// stale read shows it.
+constexpr int kStaleOnlyYieldTimes = 4;
+// At the first start of the whole system, nodes with equal processor time begin their fresh reads
+// spread over this time: in a fleet of 295 equal nodes, all of them tried to create the object.
+constexpr Duration kFirstStartSpread{1'000};
+// Interval at which nodes other than the holder check the lease with a stale read.
+constexpr Duration kLeaseCheckInterval{1'000};
+// Number of nodes that check the lease at the full rate; in larger fleets the rate is shared.
+constexpr std::uint32_t kFullRateCheckers = 8;
+// After this time without a digest of the holder, the lease is checked more often.
+constexpr Duration kSuspectAfter{700};
+constexpr Duration kSuspectCheckInterval{300};
+// Standbys see each renewal, one per second, soon enough to act before all other nodes.
+constexpr Duration kStandbyCheckInterval{500};
+// Nodes that know of standbys let these take the lease first for this long.
+constexpr Duration kStandbyYield{1'000};
+// Overloaded nodes let all other nodes take the lease first: by then even nodes that yield to
+// standbys have taken it, 0.5 to 0.7 s after it was given up in measurements, and 1.5 s at the
+// most.
+constexpr Duration kOverloadedYield{2'000};
+// Overload lasts for seconds, and nothing requires this node to take the lease again soon.
+constexpr Duration kResignationCooldown{10'000};
+// Taking over the lease is more work than holding it: the reports of all engines and the counts of
+// all nodes arrive at once. Also the minimum time between two handovers in a fleet that is
+// overloaded as a whole.
+constexpr Duration kMinHoldTime{4'000};
+// Half of the lag at which a holder resigns.
+constexpr Duration kLagLogThreshold{100};
+constexpr Duration kLagLogInterval{1'000};
+constexpr Duration kIgnoredLogInterval{1'000};
 
 }  // namespace
 
-// The holder has not answered lately, or says that it can't renew its lease: whether it still does
-// is looked at more often.
-bool FleetState::DoubtsHolder(TimePoint now) const {
-  return !holds_ && heard_ &&
-         (heard_->digest.renewals_fail || now - heard_->made_at >= kDoubtAfter);
+// Returns true when the holder has not answered lately or reports that it can't renew its lease;
+// the lease is then checked more often.
+bool FleetState::SuspectsHolder(TimePoint now) const {
+  return !holds_lease_ && received_ &&
+         (received_->digest.renewals_fail || now - received_->made_at >= kSuspectAfter);
 }
 
-// Each look has its price: a few standbys look often, and all other nodes together about as often
-// as a few would. Without standbys a fleet of 63 nodes took 5 s to find that its holder was cut off
-// from the store; the ceiling of loads then left its models 10 s behind the demand.
-Duration FleetState::LeaseLookPause(TimePoint now) const {
-  const bool doubts = DoubtsHolder(now);
-  if (heard_ && heard_->digest.standby) {
-    return doubts ? kLeaseDoubtEvery : kStandbyLookEvery;
-  }
-  const Duration pause = doubts ? kLeaseDoubtEvery : kLeaseLookEvery;
-  return pause * std::max(1U, live_nodes_ / kLookingNodes);
+// Each check costs a store call: a few standbys check often, and all other nodes together about as
+// often as a few would. Without standbys a fleet of 63 nodes took 5 s to detect that its holder was
+// cut off from the store; because the rate of loads is limited, its models then stayed 10 s behind
+// the demand.
+Duration FleetState::LeaseCheckInterval(TimePoint now) const {
+  const bool suspects = SuspectsHolder(now);
+  if (received_ && received_->digest.standby) {
+    return suspects ? kSuspectCheckInterval : kStandbyCheckInterval;
+  }
+  const Duration pause = suspects ? kSuspectCheckInterval : kLeaseCheckInterval;
+  return pause * std::max(1U, live_nodes_ / kFullRateCheckers);
 }
 
-// A holder is judged by whether it renews, which a node does long after its other work is too late
-// to be of use. One that was slowed 8 times beside 85 nodes ordered nothing for up to 10 s at a
-// time, and took its own lapsed lease back before others were sure that they might have it.
+// A node keeps renewing its lease long after its other work is too late to be of use. A holder
+// slowed down 8 times beside 85 nodes sent no orders for up to 10 s at a time, and took its own
+// lapsed lease back before others could be sure that it was free.
 bool FleetState::ShouldResign(TimePoint now) const {
-  return holds_ && lag_.Overloaded() && now - held_since_ >= kHoldAtLeast &&
+  return holds_lease_ && lag_.Overloaded() && now - held_since_ >= kMinHoldTime &&
          !board_.Reporting(settings_.name, now).empty();
 }
 
-// No order may reach an endpoint after the lease was given up: the next holder waits only as long
-// as an order may take that was sent in time.
-void FleetState::MoveResignation(TimePoint now) {
+// No order may reach an endpoint after the lease was given up: the next holder waits only for as
+// long as an order sent in time may take.
+void FleetState::UpdateResignation(TimePoint now) {
   if (!resigning_ && ShouldResign(now)) {
     resigning_ = true;
     resigned_at_ = now;
@@ -96,77 +97,79 @@
   }
 }
 
-// How long others may take a free lease before this node does.
+// How long this node lets others take a free lease first.
 Duration FleetState::LeaseYield(TimePoint now) const {
-  const bool rests = resigned_at_ && now - *resigned_at_ < kRestAfterResigning;
-  if (rests || lag_.Overloaded()) {
-    return kYieldOverloaded;
+  const bool cooling_down = resigned_at_ && now - *resigned_at_ < kResignationCooldown;
+  if (cooling_down || lag_.Overloaded()) {
+    return kOverloadedYield;
   }
-  return heard_ && !heard_->digest.standby ? kYieldToStandbys : Duration(0);
+  return received_ && !received_->digest.standby ? kStandbyYield : Duration(0);
 }
 
-// After a restart clients may be waiting for what only a holder can order: no time is lost then.
-Duration FleetState::FirstFreshRead() const {
-  const Duration yields = kStaleFirstYields * YieldTime(settings_.processor_share);
+// After a restart clients may be waiting for orders that only a holder can send, so nodes do not
+// spread out their reads.
+Duration FleetState::FirstFreshReadDelay() const {
+  const Duration yield_time = kStaleOnlyYieldTimes * YieldTime(settings_.processor_share);
   if (!settings_.first_start) {
-    return yields;
+    return yield_time;
   }
-  return yields + std::chrono::duration_cast<Duration>(SpreadOf(settings_.name) * kStartSpread);
+  return yield_time +
+         std::chrono::duration_cast<Duration>(SpreadOf(settings_.name) * kFirstStartSpread);
 }
 
-// At a start of the whole fleet all nodes would read the object freshly, try to create it and read
-// it once more: 295 nodes made 880 calls. Most of them learn from a stale read, at a tenth of the
-// price, who holds the lease: those with little processor time ask for more only when by then
-// nobody does.
+// If all nodes of a starting fleet read the object freshly, tried to create it and read it again,
+// 295 nodes would make 880 calls. Most of them learn who holds the lease from a stale read, at a
+// tenth of the cost: nodes with little processor time make fresh reads only when nobody holds it by
+// then.
 std::optional<LeaseRead> FleetState::LeaseReadDue(TimePoint now) {
-  if (lease_reading_) {
+  if (lease_read_pending_) {
     return std::nullopt;
   }
-  if (!lease_.Known() && now - started_at_ < FirstFreshRead()) {
-    return now - lease_read_at_ >= kLeaseFirstLooks ? std::optional(LeaseRead::kMayBeStale)
-                                                    : std::nullopt;
+  if (!lease_.Known() && now - started_at_ < FirstFreshReadDelay()) {
+    return now - lease_read_at_ >= kStartupReadInterval ? std::optional(LeaseRead::kMayBeStale)
+                                                        : std::nullopt;
   }
-  if (lease_.NeedsRead() && now - lease_read_at_ >= kLeaseReadPause) {
+  if (lease_.NeedsRead() && now - lease_read_at_ >= kFreshReadInterval) {
     return LeaseRead::kFresh;
   }
-  if (!lease_.Holds(now) && now - lease_read_at_ >= LeaseLookPause(now)) {
+  if (!lease_.Holds(now) && now - lease_read_at_ >= LeaseCheckInterval(now)) {
     return LeaseRead::kMayBeStale;
   }
   return std::nullopt;
 }
 
-// Reads and writes the lease's object when it is time to.
-void FleetState::MoveLease(FleetEffects& effects, TimePoint now) {
-  MoveResignation(now);
+// Reads and writes the lease object when due, and applies a change of the holder.
+void FleetState::UpdateLease(FleetEffects& effects, TimePoint now) {
+  UpdateResignation(now);
   lease_.YieldFor(LeaseYield(now));
-  if (holds_) {
-    // Every write names all that was ordered up to now.
+  if (holds_lease_) {
+    // Every write lists all orders sent so far.
     const OrderAnnouncements& announcements = placement_.Announcements();
     lease_.Announce(announcements.Own(now), announcements.Inherited(now),
                     announcements.InheritedAll(now));
   }
   effects.lease_read = LeaseReadDue(now);
   if (effects.lease_read) {
-    lease_reading_ = true;
+    lease_read_pending_ = true;
     lease_read_at_ = now;
   }
   effects.lease_write = lease_.NextWrite(now);
   effects.released = stopping_ && lease_.Released();
-  if (lease_.HolderAddress() != known_holder_) {
-    known_holder_ = lease_.HolderAddress();
-    upstream_.HolderSeen(known_holder_, lease_.Epoch());
-    LogLine("holder_seen").With("holder", known_holder_).With("epoch", lease_.Epoch());
+  if (lease_.HolderAddress() != lease_holder_) {
+    lease_holder_ = lease_.HolderAddress();
+    upstream_.HolderSeen(lease_holder_, lease_.Epoch());
+    LogLine("holder_seen").With("holder", lease_holder_).With("epoch", lease_.Epoch());
   }
   resigning_ = resigning_ && !lease_.Released();
   const bool holds = lease_.Holds(now) && !resigning_ && !stopping_;
-  if (holds && holds_ && lease_.Epoch() != held_epoch_) {
-    GoOnHolding(effects, now);
+  if (holds && holds_lease_ && lease_.Epoch() != held_epoch_) {
+    ContinueHolding(effects, now);
   }
-  if (holds == holds_) {
+  if (holds == holds_lease_) {
     return;
   }
-  holds_ = holds;
-  ChangedForTraffic();
+  holds_lease_ = holds;
+  MarkViewUrgent();
   if (!holds) {
     limits_.End();
   } else {
@@ -178,16 +181,17 @@
     held_epoch_ = lease_.Epoch();
     held_since_ = now;
     roster_.reset();
-    BeginBalances(lease_.Former(), now);
-    BeginQuarantine(lease_.Former(), now);
+    RestoreBalances(lease_.Former(), now);
+    RestoreQuarantine(lease_.Former(), now);
     limits_.Begin(held_epoch_);
   }
   effects.statement = MakeStatement(now);
   LogLine(holds ? "lease_taken" : "lease_lost").With("epoch", lease_.Epoch());
 }
 
-// The store has come back from an older copy, and this holder has taken its lease anew.
-void FleetState::GoOnHolding(FleetEffects& effects, TimePoint now) {
+// Called when the store was restored from an older backup and this holder has taken its lease
+// again.
+void FleetState::ContinueHolding(FleetEffects& effects, TimePoint now) {
   placement_.GoOn(lease_.Former(), now);
   held_epoch_ = lease_.Epoch();
   limits_.Begin(held_epoch_);
@@ -195,9 +199,9 @@
   LogLine("lease_taken_anew").With("epoch", lease_.Epoch());
 }
 
-// Orders are sent only to endpoints that the lease's record names, so it must name them first.
+// Orders are sent only to endpoints listed in the lease record, so they are written there first.
 void FleetState::AnnounceOrders(FleetEffects& effects, TimePoint now) {
-  if (!holds_ || effects.lease_write) {
+  if (!holds_lease_ || effects.lease_write) {
     return;
   }
   const OrderAnnouncements& announcements = placement_.Announcements();
@@ -207,10 +211,10 @@
 }
 
 void FleetState::On(const fleet_message::LeaseSeen& seen, TimePoint now) {
-  lease_reading_ = false;
+  lease_read_pending_ = false;
   NoteEra(seen.version.Era());
   const bool taken = lease_.Seen(seen.record, seen.version, seen.fresh, now);
-  if (taken || !seen.record || now - lease_ignored_logged_at_ < kLogIgnoredEvery) {
+  if (taken || !seen.record || now - lease_ignored_logged_at_ < kIgnoredLogInterval) {
     return;
   }
   lease_ignored_logged_at_ = now;
@@ -223,7 +227,7 @@
 }
 
 void FleetState::On(const fleet_message::LeaseUnread&, TimePoint now) {
-  lease_reading_ = false;
+  lease_read_pending_ = false;
   lease_.Unread(now);
 }
 
@@ -235,15 +239,15 @@
   }
 }
 
-// A node that is short of processor time decides late on everything, which no other line shows.
+// A node that lacks processor time makes all its decisions late, which no other log line shows.
 void FleetState::LogLag(TimePoint now) {
-  if (lag_.Mean() < kLagLoggedFrom || now - lag_logged_at_ < kLogLagEvery) {
+  if (lag_.Mean() < kLagLogThreshold || now - lag_logged_at_ < kLagLogInterval) {
     return;
   }
   lag_logged_at_ = now;
   LogLine("control_late", Severity::kWarning)
       .With("mean_ms", lag_.Mean().count())
-      .With("holds_lease", holds_ ? "yes" : "no");
+      .With("holds_lease", holds_lease_ ? "yes" : "no");
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/fleet/fleet_limits.cpp
+++ b/src/rudderloom/fleet/fleet_limits.cpp
@@ -1,4 +1,4 @@
-// Limits that endpoints announce, on their way to all nodes, and who hands out permits for them.
+// Distributes the limits that endpoints announce to all nodes, and decides who issues permits.
 #include <set>  // for set
 
 #include "rudderloom/base/log_line.hpp"      // for LogLine
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr Duration kExpireEvery{1'000};
+constexpr Duration kLimitExpiryInterval{1'000};
 
 }  // namespace
 
-// What this node's requests have observed, or another node's that reports here.
-void FleetState::TakeLimits(const SentLimits& limits, TimePoint now) {
+// Records limits observed by this node's requests, or by a node that reports here.
+void FleetState::RecordLimits(const SentLimits& limits, TimePoint now) {
   const bool is_new = limits_.Observed(limits, now);
-  urgent_ = urgent_ || is_new;
+  report_urgent_ = report_urgent_ || is_new;
 }
 
 void FleetState::ExpireLimits(TimePoint now) {
-  if (now - limits_expired_at_ < kExpireEvery) {
+  if (now - limits_expired_at_ < kLimitExpiryInterval) {
     return;
   }
   limits_expired_at_ = now;
@@ -30,16 +30,16 @@
   limits_.Expire([&](EndpointKey endpoint) { return listed.contains(endpoint); }, now);
 }
 
-// The first of the nodes that take the lease over: all nodes know it by the holder's message.
+// The first of the standbys. All nodes know it from the holder's digest.
 std::string FleetState::Deputy() const {
-  return heard_ && !heard_->digest.standby_addresses.empty()
-             ? heard_->digest.standby_addresses.front()
+  return received_ && !received_->digest.standby_addresses.empty()
+             ? received_->digest.standby_addresses.front()
              : std::string();
 }
 
-// True when this node becomes the deputy or is none any more.
-bool FleetState::DeputyChanged(TimePoint now) {
-  const bool is_deputy = !holds_ && Deputy() == settings_.listen.peers;
+// Returns true when this node becomes the deputy or stops being it.
+bool FleetState::UpdateDeputy(TimePoint now) {
+  const bool is_deputy = !holds_lease_ && Deputy() == settings_.listen.peers;
   if (is_deputy == deputy_since_.has_value()) {
     return false;
   }
@@ -48,7 +48,7 @@
 }
 
 std::optional<PermitBasis> FleetState::MakePermitBasis() const {
-  if (holds_) {
+  if (holds_lease_) {
     return PermitBasis{held_since_ + kMostPermitWait, lease_.ValidUntil(), 1.0};
   }
   if (!deputy_since_) {
@@ -57,12 +57,12 @@
   return PermitBasis{*deputy_since_ + kMostPermitWait, TimePoint::max(), kDeputyPart};
 }
 
-// Until when this node asks the holder.
+// Until when this node asks the holder for permits.
 TimePoint FleetState::HolderPermitsUntil() const {
-  if (holds_) {
+  if (holds_lease_) {
     return TimePoint::max();
   }
-  return heard_ ? heard_->made_at + kHolderGrantsFor : TimePoint();
+  return received_ ? received_->made_at + kHolderGrantsFor : TimePoint();
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/fleet/fleet_limits_test.cpp
+++ b/src/rudderloom/fleet/fleet_limits_test.cpp
@@ -1,5 +1,5 @@
-// Fleets in simulated time send to an endpoint that announces how many requests a second it accepts
-// from all of them, ten times as many as it accepts, while nodes fail.
+// Fleets in simulated time send to an endpoint that announces how many requests per second it
+// accepts from all nodes together. They are offered ten times as many, while nodes fail.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include <algorithm>  // for max
@@ -14,12 +14,12 @@
 using fakes::LimitedTraffic;
 
 constexpr double kLimits[] = {0.3, 1.0, 5.0, 50.0};
-constexpr double kLeastWanted = 40.0;
-constexpr int kBefore = 6'000;  // milliseconds
-constexpr int kAfter = 9'000;
+constexpr double kMinOffered = 40.0;
+constexpr int kBeforeFault = 6'000;  // Milliseconds.
+constexpr int kAfterFault = 9'000;
 
-// In any 4 s: one and a half times the limit, and five requests.
-int Allowed(double limit) {
+// Requests allowed in any 4 s: one and a half times the limit, plus five.
+int MaxAllowed(double limit) {
   constexpr double kWindowSeconds = 4.0;
   constexpr double kTolerance = 1.5;
   return static_cast<int>(kTolerance * limit * kWindowSeconds) + 5;
@@ -35,10 +35,10 @@
 
 struct Scenario {
   const char* name;
-  void (*strike)(FleetWorld&, LimitedTraffic&);
+  void (*inject)(FleetWorld&, LimitedTraffic&);
 };
 
-void StrikeNothing(FleetWorld&, LimitedTraffic&) {}
+void InjectNothing(FleetWorld&, LimitedTraffic&) {}
 
 void KillHolder(FleetWorld& world, LimitedTraffic&) {
   if (const auto holder = world.Holder()) {
@@ -64,7 +64,7 @@
   }
 }
 
-void KillAll(FleetWorld& world, LimitedTraffic&) {
+void RestartAll(FleetWorld& world, LimitedTraffic&) {
   for (int i = 0; i < world.Nodes(); ++i) {
     world.Start(i);
   }
@@ -92,37 +92,37 @@
   world.RestoreStore(4'000, 500);
 }
 
-const Scenario kScenarios[] = {{"nothing", StrikeNothing},
+const Scenario kScenarios[] = {{"nothing", InjectNothing},
                                {"holder killed", KillHolder},
                                {"holder suspended", SuspendHolder},
                                {"holder cut from nodes", CutHolderFromNodes},
                                {"holder cut from store", CutHolderFromStore},
-                               {"all killed", KillAll},
+                               {"all restarted", RestartAll},
                                {"holder killed, store down", KillHolderWithoutStore},
                                {"holder and deputy killed", KillHolderAndDeputy},
                                {"store restored", RestoreStore}};
 
-void Check(int nodes, double limit, const Scenario& scenario, unsigned seed) {
+void CheckLimitKept(int nodes, double limit, const Scenario& scenario, unsigned seed) {
   CAPTURE(nodes);
   CAPTURE(limit);
   CAPTURE(scenario.name);
   CAPTURE(seed);
   FleetWorld world(Fleet(nodes));
-  LimitedTraffic traffic(world, std::max(kLeastWanted, 10.0 * limit), seed);
-  traffic.Play(kBefore);
+  LimitedTraffic traffic(world, std::max(kMinOffered, 10.0 * limit), seed);
+  traffic.Play(kBeforeFault);
   traffic.Announce(limit);
-  traffic.Play(kBefore);
-  scenario.strike(world, traffic);
-  traffic.Play(kAfter);
-  CHECK(traffic.MostInWindow() <= Allowed(limit));
+  traffic.Play(kBeforeFault);
+  scenario.inject(world, traffic);
+  traffic.Play(kAfterFault);
+  CHECK(traffic.MostInWindow() <= MaxAllowed(limit));
 }
 
-// Guards against a sum over all nodes that grows with their number.
+// Guards against a total over all nodes that grows with their number.
 TEST_CASE("12 nodes together keep to an endpoint's limit while nodes fail") {
   for (const Scenario& scenario : kScenarios) {
     for (const double limit : kLimits) {
       for (unsigned seed = 1; seed <= 5; ++seed) {
-        Check(12, limit, scenario, seed);
+        CheckLimitKept(12, limit, scenario, seed);
       }
     }
   }
@@ -131,26 +131,26 @@
 TEST_CASE("60 nodes together keep to an endpoint's limit while nodes fail") {
   for (const Scenario& scenario : kScenarios) {
     for (const double limit : kLimits) {
-      Check(60, limit, scenario, 7);
+      CheckLimitKept(60, limit, scenario, 7);
     }
   }
 }
 
 TEST_CASE("300 nodes together keep to an endpoint's limit while nodes fail") {
   for (const Scenario& scenario : kScenarios) {
-    Check(300, 1.0, scenario, 9);
+    CheckLimitKept(300, 1.0, scenario, 9);
   }
   for (const double limit : kLimits) {
-    Check(300, limit, kScenarios[1], 10);
+    CheckLimitKept(300, limit, kScenarios[1], 10);
   }
 }
 
-// Guards against limits that outlast their announcement, or that only some nodes know.
-TEST_CASE("the begin and the end of a limit reach all nodes within a second") {
+// Guards against limits that outlast their announcement, or that reach only some nodes.
+TEST_CASE("the start and the end of a limit reach all nodes within a second") {
   for (const int nodes : {12, 60}) {
     FleetWorld world(Fleet(nodes));
-    LimitedTraffic traffic(world, kLeastWanted, 3);
-    traffic.Play(kBefore);
+    LimitedTraffic traffic(world, kMinOffered, 3);
+    traffic.Play(kBeforeFault);
     for (int round = 0; round < 4; ++round) {
       traffic.Announce(5.0);
       traffic.Play(1'000);
@@ -165,13 +165,13 @@
   }
 }
 
-// Guards against a limit that is never seen to end, as nothing is sent there any more.
+// Guards against a limit whose end is never noticed because no more requests are sent.
 TEST_CASE("a limited endpoint gets requests up to its limit, also without a holder") {
   FleetWorld world(Fleet(12));
-  LimitedTraffic traffic(world, kLeastWanted, 4);
-  traffic.Play(kBefore);
+  LimitedTraffic traffic(world, kMinOffered, 4);
+  traffic.Play(kBeforeFault);
   traffic.Announce(2.0);
-  traffic.Play(kBefore);
+  traffic.Play(kBeforeFault);
   CHECK(traffic.Arrived(4'000) >= 6);
   world.SetStoreDown(true);
   KillHolder(world, traffic);
--- a/src/rudderloom/fleet/fleet_quarantine.cpp
+++ b/src/rudderloom/fleet/fleet_quarantine.cpp
@@ -1,5 +1,5 @@
-// Requests that crash endpoints: what this node has seen, on its way to the holder of the lease,
-// and the holder's list, on its way back and to traffic.
+// Requests that crash endpoints: sends what this node has seen to the lease holder, and applies the
+// holder's list to this node's request handling.
 #include <utility>  // for move
 
 #include "rudderloom/base/log_line.hpp"      // for LogLine
@@ -9,8 +9,8 @@
 
 namespace {
 
-// In the lease's record, 34 bytes each. More of them are known to the nodes that live.
-constexpr std::size_t kMostInLease = 64;
+// Limit for the lease record, at 34 bytes per entry. Running nodes know of more than these.
+constexpr std::size_t kMaxQuarantinedInLease = 64;
 
 void LogChanges(const QuarantineList& before, const QuarantineList& after) {
   for (const RequestDigest& request : after.quarantined) {
@@ -27,40 +27,41 @@
 
 }  // namespace
 
-// What this node's requests met, or another node's that reports here.
-void FleetState::TakeCrashNews(const CrashNews& news, TimePoint now) {
+// Records crashes seen by this node's requests, or by a node that reports here.
+void FleetState::RecordCrashNews(const CrashNews& news, TimePoint now) {
   if (news.Empty()) {
     return;
   }
-  // Three ends are soon over: whoever counts them hears of each at once.
+  // Three crashes happen within a short time, so the node that counts them must learn of each at
+  // once.
   const bool is_new = news_log_.Add(news, now);
-  urgent_ = urgent_ || is_new;
+  report_urgent_ = report_urgent_ || is_new;
   if (crash_book_.Take(news, now)) {
     QuarantineChanged();
   }
 }
 
-// Another node answers with what it is telling the holder. That is not told on: the nodes that saw
-// it do so for long enough.
-void FleetState::HearCrashNews(const CrashNews& news, TimePoint now) {
+// Applies what another node reports to the holder, taken from its answer. It is not forwarded: the
+// nodes that saw the crashes report them for long enough.
+void FleetState::ApplyPeerCrashNews(const CrashNews& news, TimePoint now) {
   if (!news.Empty() && crash_book_.Take(news, now)) {
     QuarantineChanged();
   }
 }
 
-// Nodes that ask this one must hear other news than those of its last statement.
-bool FleetState::NewsToTell(TimePoint now) {
+// Returns true when the statement for nodes that report here needs newer crash news.
+bool FleetState::UpdatePublishedNews(TimePoint now) {
   CrashNews news = news_log_.Current(now);
-  if (news == told_news_) {
+  if (news == published_news_) {
     return false;
   }
-  told_news_ = std::move(news);
+  published_news_ = std::move(news);
   return true;
 }
 
-// The holder's book replaces this node's. What this node goes on telling the holder may not be in
-// it yet.
-void FleetState::TakeQuarantine(const QuarantineTable& table, TimePoint now) {
+// Replaces this node's book by the holder's, which may not include yet what this node still reports
+// to the holder.
+void FleetState::ApplyQuarantine(const QuarantineTable& table, TimePoint now) {
   const bool replaced = crash_book_.Replace(table.entries, now);
   const bool added = crash_book_.Take(news_log_.Current(now), now);
   quarantine_version_ = table.version;
@@ -69,19 +70,19 @@
   }
 }
 
-// The lease was taken: the book of this node counts from now on. One that has heard no holder knows
-// what the lease's record tells.
-void FleetState::BeginQuarantine(const FormerLease& lease, TimePoint now) {
+// Called when the lease is taken: from now on this node's book is authoritative. A node that has
+// received no digest from a holder starts from the lease record.
+void FleetState::RestoreQuarantine(const FormerLease& lease, TimePoint now) {
   crash_book_.Restore(lease.quarantined, now);
   quarantine_changes_ = 0;
   QuarantineChanged();
 }
 
 void FleetState::QuarantineChanged() {
-  if (holds_) {
+  if (holds_lease_) {
     constexpr unsigned kHalf = 32;
     quarantine_version_ = (lease_.Epoch() << kHalf) | (++quarantine_changes_ & 0xffffffffU);
-    lease_.NoteQuarantined(crash_book_.Quarantined(kMostInLease));
+    lease_.NoteQuarantined(crash_book_.Quarantined(kMaxQuarantinedInLease));
   }
   auto list = std::make_shared<const QuarantineList>(crash_book_.List());
   const QuarantineList before = quarantine_ ? *quarantine_ : QuarantineList();
@@ -90,7 +91,7 @@
   }
   LogChanges(before, *list);
   quarantine_ = list->Empty() ? nullptr : std::move(list);
-  ChangedForTraffic();
+  MarkViewUrgent();
 }
 
 void FleetState::ExpireQuarantine(TimePoint now) {
@@ -99,7 +100,7 @@
   }
 }
 
-// Null while there is nothing to tell.
+// Returns null while the table is empty.
 std::shared_ptr<const QuarantineTable> FleetState::MakeQuarantineTable(TimePoint now) const {
   std::vector<SuspectEntry> entries = crash_book_.Told(now);
   if (entries.empty()) {
--- a/src/rudderloom/fleet/fleet_quota_test.cpp
+++ b/src/rudderloom/fleet/fleet_quota_test.cpp
@@ -1,5 +1,4 @@
-// A customer's limit over a fleet with relays: 30 nodes, one customer, faults of the nodes that
-// count.
+// A customer's limit in a fleet of 30 nodes with relays, while nodes that keep balances fail.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include "fakes/fleet_world.hpp"  // for FleetWorld
@@ -14,7 +13,7 @@
 constexpr std::int64_t kBurst = 100'000;
 constexpr std::int64_t kAmount = 700;
 
-// Hardly anything flows in: a balance tells what was spent.
+// The refill is negligible, so that a balance shows what was spent.
 FleetWorldOptions Options() {
   FleetWorldOptions options;
   Customer customer;
@@ -24,7 +23,7 @@
   return options;
 }
 
-// Some nodes of each group, the holder's and relays' among them; gives what they spent.
+// Spends at some nodes of each group, including the holder and relays; returns the total.
 std::int64_t SpendEverywhere(FleetWorld& world) {
   std::int64_t spent = 0;
   for (int i = 0; i < world.Nodes(); i += 2) {
@@ -36,16 +35,16 @@
   return spent;
 }
 
-// What is missing of the burst, as the node has heard it.
+// The spent part of the burst, according to the balance that the node has received.
 std::int64_t SpentAt(const FleetWorld& world, int node) {
   return kBurst - world.LevelAt(node, kName).value_or(kBurst);
 }
 
-bool About(std::int64_t spent, std::int64_t expected) {
-  return spent <= expected && spent >= expected - 60;  // a minute's inflow
+bool NearlyEqualSpending(std::int64_t spent, std::int64_t expected) {
+  return spent <= expected && spent >= expected - 60;  // The refill of one minute.
 }
 
-TEST_CASE("what is spent at any node is taken off once, and every node where it asks hears so") {
+TEST_CASE("spending at any node is deducted once, and all nodes the customer uses learn of it") {
   FleetWorld world(Options());
   world.Play(8'000);
   std::int64_t spent = 0;
@@ -56,11 +55,11 @@
   world.Play(2'000);
   for (int i = 0; i < world.Nodes(); i += 2) {
     CAPTURE(i);
-    CHECK(About(SpentAt(world, i), spent));
+    CHECK(NearlyEqualSpending(SpentAt(world, i), spent));
   }
 }
 
-TEST_CASE("a new holder goes on from the balance that it heard of the one before") {
+TEST_CASE("a new holder continues from the balance received from the former one") {
   FleetWorld world(Options());
   world.Play(8'000);
   std::int64_t spent = SpendEverywhere(world);
@@ -76,10 +75,10 @@
   REQUIRE(*second != *first);
   spent += SpendEverywhere(world);
   world.Play(3'000);
-  CHECK(About(SpentAt(world, *second), spent));
+  CHECK(NearlyEqualSpending(SpentAt(world, *second), spent));
 }
 
-TEST_CASE("while the store is down relays grant their groups' parts, together no more than all") {
+TEST_CASE("with the store down relays grant their groups' shares, in total at most everything") {
   FleetWorld world(Options());
   world.Play(8'000);
   SpendEverywhere(world);
@@ -99,7 +98,7 @@
   CHECK(parts <= 1.0);
 }
 
-TEST_CASE("where all processes were killed the lease's record tells who has spent most") {
+TEST_CASE("after all processes were killed the lease record has the lowest balances") {
   FleetWorld world(Options());
   world.Play(8'000);
   for (int round = 0; round < 8; ++round) {
--- a/src/rudderloom/fleet/fleet_restore_test.cpp
+++ b/src/rudderloom/fleet/fleet_restore_test.cpp
@@ -1,14 +1,13 @@
-// A store that is away for a moment and comes back as it was some seconds before.
+// The store becomes unavailable for a moment and comes back in the state of some seconds before.
 //
-// Seen: requests still reached an endpoint 2.1 and 2.4 s after the store had acknowledged that it
-// leaves, 2 s are allowed. Some seconds before, the store had been away; from then on no node
-// logged any change of an endpoint, and none held the lease, until all processes were started anew.
-// Cause: versions were taken for ever rising. What the store told after its return bore lower ones,
-// and was dropped as old: lists and changes of endpoints until its revisions had passed those
-// known, the lease's record for good. Proved by the lines that say so, and by this test, which
-// failed in 60 checks before versions took the store's era in. Here: a fleet in simulated time,
-// beside a store whose revisions go back. An endpoint begins to leave and a configuration comes
-// some time after; what was lost is written again in between.
+// Guards against versions that are assumed to grow forever: after a restore the store's revisions
+// are lower than those already known. Nodes dropped its answers as outdated: lists and changes of
+// endpoints until the revisions had passed the known ones, the lease record for good. Requests
+// still reached an endpoint 2.1 and 2.4 s after the store had acknowledged that it was leaving,
+// where 2 s are allowed, and no node held the lease until all processes were restarted.
+//
+// The fleet runs in simulated time with a store whose revisions go back. Some time later an
+// endpoint starts to leave and a configuration is written; lost writes are repeated in between.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include "fakes/fleet_world.hpp"  // for FleetWorld
@@ -19,52 +18,52 @@
 using fakes::FleetWorld;
 using fakes::FleetWorldOptions;
 
-constexpr int kDrainBound = 2'000;
-constexpr int kWrittenAgainAfter = 1'500;
-// A lease that nobody renews is taken after some 2 s, and after a restore not before the time of a
-// holder is over whose writes may be gone.
+constexpr int kChangeBound = 2'000;
+constexpr int kRewriteDelay = 1'500;
+// A lease that is not renewed is taken after about 2 s; after a restore, only once a holder whose
+// writes may be lost can no longer be valid.
 constexpr int kHolderWithin = 6'000;
 
-enum class HolderFate { kLives, kKilled, kCutFromStore, kSuspended };
+enum class HolderFault { kNone, kKilled, kCutFromStore, kSuspended };
 
-// What is restored, and what befalls the holder meanwhile.
+// What is restored, and the holder's fault meanwhile.
 struct Restore {
   int age = 2'000;
-  int lost_writes = 0;  // beside the lease's
+  int lost_writes = 0;  // In addition to those of the lease.
   int away = 1'000;
-  HolderFate holder = HolderFate::kLives;
+  HolderFault holder = HolderFault::kNone;
   int nodes = 12;
 };
 
 struct Outcome {
-  int sent_on = 0;      // to the leaving endpoint, since the store has taken that it leaves
-  int known_after = 0;  // of the configuration, until all nodes have it
-  int no_holder = 0;    // since the store is back
+  int sent_for = 0;          // Time until no node sends to the leaving endpoint.
+  int configured_after = 0;  // Time until all nodes have the configuration.
+  int no_holder = 0;         // Time without a holder since the store is back.
   int most_holders = 0;
   int went_back = 0;
-  int forgotten = 0;  // times that a node sent to no endpoint at all
+  int without_endpoint = 0;  // Steps at which a node could not send to any endpoint.
 };
 
 constexpr int kNever = 30'000;
 
-void Strike(FleetWorld& world, HolderFate fate) {
+void InjectFault(FleetWorld& world, HolderFault fault) {
   const int holder = world.Holder().value_or(0);
-  switch (fate) {
-    case HolderFate::kLives:
+  switch (fault) {
+    case HolderFault::kNone:
       break;
-    case HolderFate::kKilled:
+    case HolderFault::kKilled:
       world.Kill(holder);
       break;
-    case HolderFate::kCutFromStore:
+    case HolderFault::kCutFromStore:
       world.CutFromStore(holder, true);
       break;
-    case HolderFate::kSuspended:
+    case HolderFault::kSuspended:
       world.Suspend(holder, 3'000);
       break;
   }
 }
 
-// A node that can't reach the store is not asked to know what it tells.
+// Nodes that can't reach the store are not expected to know its contents.
 template <class Check>
 bool AllNodes(const FleetWorld& world, Check check) {
   for (int i = 0; i < world.Nodes(); ++i) {
@@ -81,7 +80,7 @@
   FleetWorld world(options);
   world.Play(12'000);
   REQUIRE(world.Holder());
-  // What the copy does not have.
+  // Writes that the backup lacks.
   world.Play(restore.age / 2);
   if (restore.lost_writes > 0) {
     world.WriteElsewhere(restore.lost_writes - 1);
@@ -89,9 +88,9 @@
   }
   world.Play(restore.age - restore.age / 2);
   world.SetStoreDown(true);
-  Strike(world, restore.holder);
+  InjectFault(world, restore.holder);
   world.Play(restore.away);
-  world.RestoreStore(restore.age + restore.away, kWrittenAgainAfter);
+  world.RestoreStore(restore.age + restore.away, kRewriteDelay);
   world.SetStoreDown(false);
 
   Outcome outcome;
@@ -102,7 +101,7 @@
     outcome.most_holders = std::max(outcome.most_holders, world.Holders());
     held = held || (world.Holders() > 0 && world.Now() > back_at + restore.away);
     outcome.no_holder = held ? outcome.no_holder : world.Now() - back_at;
-    outcome.forgotten +=
+    outcome.without_endpoint +=
         AllNodes(world, [&](int i) { return world.Sends(i, "e1") || world.Sends(i, "e2"); }) ? 0
                                                                                              : 1;
   };
@@ -112,18 +111,18 @@
   const int leaves_at = world.Now();
   world.PutEndpoint("e1", true);
   world.Configure(9);
-  outcome.sent_on = kNever;
-  outcome.known_after = kNever;
+  outcome.sent_for = kNever;
+  outcome.configured_after = kNever;
   while (world.Now() - leaves_at < kNever) {
     watch();
     const int passed = world.Now() - leaves_at;
     if (AllNodes(world, [&](int i) { return !world.Sends(i, "e1"); })) {
-      outcome.sent_on = std::min(outcome.sent_on, passed);
+      outcome.sent_for = std::min(outcome.sent_for, passed);
     }
     if (AllNodes(world, [&](int i) { return world.RoutesVersionOf(i) == 9; })) {
-      outcome.known_after = std::min(outcome.known_after, passed);
+      outcome.configured_after = std::min(outcome.configured_after, passed);
     }
-    if (held && outcome.sent_on < kNever && outcome.known_after < kNever && passed > 8'000) {
+    if (held && outcome.sent_for < kNever && outcome.configured_after < kNever && passed > 8'000) {
       break;
     }
   }
@@ -137,15 +136,15 @@
   CAPTURE(restore.lost_writes);
   CAPTURE(restore.away);
   CAPTURE(restore.nodes);
-  CHECK(outcome.sent_on <= kDrainBound);
-  CHECK(outcome.known_after <= kDrainBound);
+  CHECK(outcome.sent_for <= kChangeBound);
+  CHECK(outcome.configured_after <= kChangeBound);
   CHECK(outcome.no_holder <= kHolderWithin);
   CHECK(outcome.most_holders == 1);
   CHECK(outcome.went_back == 0);
-  CHECK(outcome.forgotten == 0);
+  CHECK(outcome.without_endpoint == 0);
 }
 
-TEST_CASE("a store comes back from an older copy: the holder lives") {
+TEST_CASE("a store is restored from an older backup: the holder keeps running") {
   for (const int age : {100, 500, 2'000, 6'000, 10'000}) {
     for (const int lost_writes : {0, 1, 3, 40, 1'000}) {
       Restore restore;
@@ -156,21 +155,22 @@
   }
 }
 
-// The nodes found no object to read, took that for an answer that was too old, and waited for good.
-TEST_CASE("a store comes back from a copy made before there was a lease") {
-  for (const HolderFate fate : {HolderFate::kLives, HolderFate::kKilled}) {
+// Guards against nodes that find no lease object, take this for an outdated answer and wait
+// forever.
+TEST_CASE("a store is restored from a backup made before there was a lease") {
+  for (const HolderFault fault : {HolderFault::kNone, HolderFault::kKilled}) {
     for (const int nodes : {12, 60}) {
       Restore restore;
       restore.age = 60'000;
-      restore.holder = fate;
+      restore.holder = fault;
       restore.nodes = nodes;
-      CAPTURE(static_cast<int>(fate));
+      CAPTURE(static_cast<int>(fault));
       CheckAll(restore);
     }
   }
 }
 
-TEST_CASE("a store comes back from an older copy: it was away for another time") {
+TEST_CASE("a store is restored from an older backup: it was down for various times") {
   for (const int away : {100, 300, 2'600, 5'000}) {
     for (const int lost_writes : {0, 3}) {
       Restore restore;
@@ -181,8 +181,8 @@
   }
 }
 
-// Watches wait on, and are answered only once the store's revisions have passed theirs again.
-TEST_CASE("a store comes back from an older copy: no call fails") {
+// Watches stay open, and are answered only once the store's revisions have passed theirs again.
+TEST_CASE("a store is restored from an older backup: no call fails") {
   for (const int nodes : {12, 60}) {
     for (const int lost_writes : {0, 3, 40}) {
       Restore restore;
@@ -194,7 +194,7 @@
   }
 }
 
-TEST_CASE("a store comes back from an older copy: several times in a row") {
+TEST_CASE("a store is restored from an older backup: several times in a row") {
   FleetWorldOptions options;
   options.nodes = 12;
   FleetWorld world(options);
@@ -205,7 +205,7 @@
     world.Play(1'000);
     world.SetStoreDown(true);
     world.Play(500);
-    world.RestoreStore(age, kWrittenAgainAfter);
+    world.RestoreStore(age, kRewriteDelay);
     world.SetStoreDown(false);
     const std::string instance = "new-" + std::to_string(age);
     for (int played = 0; played < 4'000; played += 20) {
@@ -214,7 +214,7 @@
     }
     world.PutEndpoint(instance, false);
     world.Configure(++version);
-    world.Play(kDrainBound);
+    world.Play(kChangeBound);
     CHECK(AllNodes(world, [&](int i) { return world.Sends(i, instance); }));
     CHECK(AllNodes(world, [&](int i) { return world.RoutesVersionOf(i) == version; }));
   }
@@ -222,15 +222,15 @@
   CHECK(world.WentBack() == 0);
 }
 
-// The copy still has the entry; the store drops it when nobody has renewed it for a while.
-TEST_CASE("an endpoint that had left is not sent to again for being in an older copy") {
-  for (const bool said_so : {true, false}) {
-    CAPTURE(said_so);
+// The backup still has the entry; the store drops it when it is not renewed for a while.
+TEST_CASE("an endpoint that had left gets no requests because an older backup lists it") {
+  for (const bool announced : {true, false}) {
+    CAPTURE(announced);
     FleetWorldOptions options;
     options.nodes = 12;
     FleetWorld world(options);
     world.Play(12'000);
-    if (said_so) {
+    if (announced) {
       world.PutEndpoint("e1", true);
       world.Play(2'000);
     }
@@ -239,7 +239,7 @@
     CHECK(AllNodes(world, [&](int i) { return !world.Sends(i, "e1"); }));
     world.SetStoreDown(true);
     world.Play(500);
-    world.RestoreStore(8'000, kWrittenAgainAfter);
+    world.RestoreStore(8'000, kRewriteDelay);
     world.SetStoreDown(false);
     bool sent = false;
     for (int played = 0; played < 12'000; played += 50) {
@@ -254,9 +254,9 @@
   }
 }
 
-// Nobody is left who knows the last token. Nodes that found no object to read took that for an
-// answer that was too old, and waited for good.
-TEST_CASE("a store comes back from an older copy: all nodes were killed meanwhile") {
+// No process knows the last token. Guards against nodes that find no lease object, take this for an
+// outdated answer and wait forever.
+TEST_CASE("a store is restored from an older backup: all nodes were killed meanwhile") {
   for (const int age : {9'000, 60'000}) {
     CAPTURE(age);
     FleetWorldOptions options;
@@ -267,70 +267,70 @@
     world.Kill(first);
     world.Play(6'000);
     REQUIRE(world.Holder());
-    const std::uint64_t given_out = world.EpochOf(*world.Holder());
+    const std::uint64_t last_epoch = world.EpochOf(*world.Holder());
     world.SetStoreDown(true);
     for (int i = 0; i < world.Nodes(); ++i) {
       world.Kill(i);
     }
     world.Play(1'000);
-    world.RestoreStore(age, kWrittenAgainAfter);
+    world.RestoreStore(age, kRewriteDelay);
     world.SetStoreDown(false);
     for (int i = 0; i < world.Nodes(); ++i) {
       world.Start(i);
     }
     world.Play(8'000);
     REQUIRE(world.Holders() == 1);
-    CHECK(world.EpochOf(*world.Holder()) > given_out);
+    CHECK(world.EpochOf(*world.Holder()) > last_epoch);
   }
 }
 
-TEST_CASE("a store comes back from an older copy: the holder is lost meanwhile") {
-  for (const HolderFate fate : {HolderFate::kKilled, HolderFate::kSuspended}) {
+TEST_CASE("a store is restored from an older backup: the holder is lost meanwhile") {
+  for (const HolderFault fault : {HolderFault::kKilled, HolderFault::kSuspended}) {
     for (const int age : {500, 4'500}) {
       for (const int lost_writes : {0, 3}) {
         Restore restore;
         restore.age = age;
         restore.lost_writes = lost_writes;
-        restore.holder = fate;
-        CAPTURE(static_cast<int>(fate));
+        restore.holder = fault;
+        CAPTURE(static_cast<int>(fault));
         CheckAll(restore);
       }
     }
   }
 }
 
-TEST_CASE("a store comes back from an older copy: the holder can't reach it") {
+TEST_CASE("a store is restored from an older backup: the holder can't reach it") {
   for (const int age : {500, 4'500}) {
     Restore restore;
     restore.age = age;
     restore.lost_writes = 3;
-    restore.holder = HolderFate::kCutFromStore;
+    restore.holder = HolderFault::kCutFromStore;
     CheckAll(restore);
   }
 }
 
-TEST_CASE("a store comes back from an older copy: a fleet with relays") {
+TEST_CASE("a store is restored from an older backup: a fleet with relays") {
   for (const int lost_writes : {0, 3, 40}) {
-    for (const HolderFate fate : {HolderFate::kLives, HolderFate::kKilled}) {
+    for (const HolderFault fault : {HolderFault::kNone, HolderFault::kKilled}) {
       Restore restore;
       restore.nodes = 60;
       restore.lost_writes = lost_writes;
-      restore.holder = fate;
-      CAPTURE(static_cast<int>(fate));
+      restore.holder = fault;
+      CAPTURE(static_cast<int>(fault));
       CheckAll(restore);
     }
   }
 }
 
-TEST_CASE("a store comes back from an older copy: a fleet of 300 nodes") {
-  for (const HolderFate fate : {HolderFate::kLives, HolderFate::kKilled, HolderFate::kSuspended,
-                                HolderFate::kCutFromStore}) {
+TEST_CASE("a store is restored from an older backup: a fleet of 300 nodes") {
+  for (const HolderFault fault : {HolderFault::kNone, HolderFault::kKilled, HolderFault::kSuspended,
+                                  HolderFault::kCutFromStore}) {
     Restore restore;
     restore.nodes = 300;
     restore.age = 4'500;
     restore.lost_writes = 40;
-    restore.holder = fate;
-    CAPTURE(static_cast<int>(fate));
+    restore.holder = fault;
+    CAPTURE(static_cast<int>(fault));
     CheckAll(restore);
   }
 }
--- a/src/rudderloom/fleet/fleet_settings.cpp
+++ b/src/rudderloom/fleet/fleet_settings.cpp
@@ -8,18 +8,18 @@
 namespace {
 
 constexpr const char* kInterface = "fleet";
-constexpr std::int64_t kMostLogLines = 1'000'000;
-constexpr std::int64_t kLeastGroup = 2;
-constexpr std::int64_t kMostGroup = 1'000;
-constexpr double kMostRetries = 1'000'000.0;
-constexpr double kMostQuotaSlack = 1e12;
-constexpr double kLeastProcessorShare = 0.001;
-constexpr double kMostProcessorShare = 1'024.0;
+constexpr std::int64_t kMaxLogLines = 1'000'000;
+constexpr std::int64_t kMinGroupSize = 2;
+constexpr std::int64_t kMaxGroupSize = 1'000;
+constexpr double kMaxRetryExtra = 1'000'000.0;
+constexpr double kMaxQuotaSlack = 1e12;
+constexpr double kMinProcessorShare = 0.001;
+constexpr double kMaxProcessorShare = 1'024.0;
 
 std::string ReadAddress(ObjectReader& reader, std::string_view key, bool required) {
   std::string text = reader.String(key, required ? std::nullopt : std::optional<std::string>(""));
   if (!text.empty() && !IsAddress(text)) {
-    reader.Fail(key, "\"" + text + "\" is not an IP number and port such as 10.0.0.1:8080");
+    reader.Fail(key, "\"" + text + "\" is not an IP address and port such as 10.0.0.1:8080");
   }
   return text;
 }
@@ -39,12 +39,12 @@
   bounds.load_window = reader.Time("load_window", bounds.load_window);
   bounds.load_overshoot = reader.Number("load_overshoot", 1.0, 10.0, bounds.load_overshoot);
   bounds.retry_ratio = reader.Number("retry_ratio", 0.0, 1.0, bounds.retry_ratio);
-  bounds.retry_extra = reader.Number("retry_extra", 0.0, kMostRetries, bounds.retry_extra);
+  bounds.retry_extra = reader.Number("retry_extra", 0.0, kMaxRetryExtra, bounds.retry_extra);
   bounds.retry_window = reader.Time("retry_window", bounds.retry_window);
   bounds.configuration = reader.Time("configuration", bounds.configuration);
   bounds.quota.window = reader.Time("quota_window", bounds.quota.window);
   bounds.quota.overshoot = reader.Number("quota_overshoot", 0.0, 1.0, bounds.quota.overshoot);
-  bounds.quota.slack = reader.Number("quota_slack", 0.0, kMostQuotaSlack, bounds.quota.slack);
+  bounds.quota.slack = reader.Number("quota_slack", 0.0, kMaxQuotaSlack, bounds.quota.slack);
 }
 
 void ReadStore(ObjectReader& reader, FleetSettings& settings) {
@@ -53,26 +53,26 @@
   settings.store_watch_time = reader.Time("watch_time", settings.store_watch_time);
 }
 
-void ReadAll(ObjectReader& reader, FleetSettings& settings) {
+void ReadSettings(ObjectReader& reader, FleetSettings& settings) {
   const std::string interface = reader.String("interface");
   if (interface != kInterface) {
-    reader.Fail("interface", "\"" + interface + "\" is not \"" + kInterface + "\"");
+    reader.Fail("interface", "found \"" + interface + "\", expected \"" + kInterface + "\"");
   }
   reader.Object("node", false, [&](ObjectReader& node) {
     settings.name = node.String("name");
     settings.availability_zone = node.String("availability_zone");
-    settings.processor_share = node.Number("processor_share", kLeastProcessorShare,
-                                           kMostProcessorShare, settings.processor_share);
+    settings.processor_share = node.Number("processor_share", kMinProcessorShare,
+                                           kMaxProcessorShare, settings.processor_share);
     settings.first_start = node.Boolean("first_start", settings.first_start);
     settings.group_size = static_cast<std::uint32_t>(
-        node.Integer("group_size", kLeastGroup, kMostGroup, settings.group_size));
+        node.Integer("group_size", kMinGroupSize, kMaxGroupSize, settings.group_size));
   });
   reader.Object("listen", false,
                 [&](ObjectReader& nested) { ReadListeners(nested, settings.listen); });
   reader.Object("store", false, [&](ObjectReader& nested) { ReadStore(nested, settings); });
   reader.Object("bounds", true, [&](ObjectReader& nested) { ReadBounds(nested, settings.bounds); });
   settings.log_lines_per_second = static_cast<std::uint32_t>(
-      reader.Integer("log_lines_per_second", 0, kMostLogLines, settings.log_lines_per_second));
+      reader.Integer("log_lines_per_second", 0, kMaxLogLines, settings.log_lines_per_second));
 }
 
 }  // namespace
@@ -91,7 +91,7 @@
   JsonErrors errors;
   FleetSettings settings;
   ObjectReader reader(std::get<boost::json::object>(parsed), "", errors);
-  ReadAll(reader, settings);
+  ReadSettings(reader, settings);
   reader.Finish();
   if (!errors.empty()) {
     return errors;
--- a/src/rudderloom/fleet/fleet_settings_test.cpp
+++ b/src/rudderloom/fleet/fleet_settings_test.cpp
@@ -13,7 +13,7 @@
   "bounds": {"lease": "4s", "drain": "1500ms", "retry_extra": 12.5, "checks_fences": true}
 })";
 
-TEST_CASE("settings are read, and what they leave out has its default") {
+TEST_CASE("settings are parsed, and missing ones have their defaults") {
   CHECK(AsksForFleet(kSettings));
   const auto read = ParseFleetSettings(kSettings);
   REQUIRE(std::holds_alternative<FleetSettings>(read));
@@ -27,7 +27,7 @@
   CHECK(settings.bounds.grace == Duration(8'000));
 }
 
-TEST_CASE("every mistake is named with its place") {
+TEST_CASE("every error is reported with its JSON path") {
   const auto read = ParseFleetSettings(R"({
     "interface": "fleet",
     "node": {"name": "n", "availability_zone": "z"},
@@ -44,7 +44,7 @@
                                        "/bounds/unknown"});
 }
 
-TEST_CASE("settings of the other interface are not taken for these") {
+TEST_CASE("settings of the other interface are rejected") {
   CHECK_FALSE(AsksForFleet(R"({"node": {"name": "n"}})"));
   CHECK_FALSE(AsksForFleet("not JSON"));
   CHECK(std::holds_alternative<JsonErrors>(ParseFleetSettings("{}")));
--- a/src/rudderloom/fleet/fleet_shell.cpp
+++ b/src/rudderloom/fleet/fleet_shell.cpp
@@ -9,53 +9,54 @@
 
 namespace {
 
-constexpr Duration kTick{50};
+constexpr Duration kTickInterval{50};
 constexpr const char* kLeaseName = "placement";
-constexpr Duration kOrderLimit{700};
-constexpr Duration kReportLimit{400};
-constexpr Duration kConnectLimit{300};
-constexpr Duration kBackoffLeast{100};
-// Calls that fail are priced too, and their number grows with the nodes. A configuration may take 3
-// s from when the store is well again.
-constexpr Duration kBackoffMost{1'600};
-// Changes that come within this time are read with one call; each call has its price.
-constexpr Duration kBetweenConfigurations{250};
-// Part of the drain time within which an entry's change may wait to be read.
-constexpr double kEndpointPart = 0.4;
-// The same for the node on which the others rely; its watches are also over after this time.
-constexpr double kEndpointForOthersPart = 0.125;
-// The same for the configuration, as part of the time in which it must be in force.
-constexpr double kRoutesForOthersPart = 0.125;
-// In a small fleet each node has a watch of its own. The holder's also finds a newer configuration
-// soon, whatever becomes of the watch: an open connection may go silent without an error. The
-// others hear of it from that node, so their watches may last long; each answer has its price.
-constexpr Duration kRoutesWatchOfHolder{1'500};
-constexpr Duration kRoutesWatchWithHolder{25'000};
-// A watch that began before a node took the lease lasts on for its own, longer time, and says
-// nothing if its connection has fallen silent: three nodes did not know a configuration for 7 s.
-// The holder's own watch and a call that fails take that long together.
-constexpr Duration kRoutesConfirmedWithin{2'000};
-// About the time of a call that fails: one at a time, without a pause.
-constexpr Duration kBetweenReads{500};
-// On that node a list finds what a watch has left out.
-constexpr Duration kListForOthersEvery{20'000};
-constexpr std::size_t kUnreadableTold = 64;
-constexpr std::size_t kNameShown = 64;  // letters
+constexpr Duration kOrderTimeout{700};
+constexpr Duration kReportTimeout{400};
+constexpr Duration kConnectTimeout{300};
+constexpr Duration kMinBackoff{100};
+// Failed calls have a cost as well, and their number grows with the nodes. A configuration may take
+// up to 3 s once the store has recovered.
+constexpr Duration kMaxBackoff{1'600};
+// Changes within this time are read with one call; each call has a cost.
+constexpr Duration kMinConfigurationCallInterval{250};
+// Fraction of the drain time for which the change of an entry may wait to be read.
+constexpr double kEndpointDelayFraction = 0.4;
+// The same for the node on which others rely; its watches also end after this time.
+constexpr double kSharedEndpointDelayFraction = 0.125;
+// The same for the configuration, as a fraction of the time in which it must be in force.
+constexpr double kSharedRoutesDelayFraction = 0.125;
+// In a small fleet each node has its own watch. The holder's is short, so that the holder finds a
+// newer configuration soon even if the watch fails: an open connection may fall silent without an
+// error. The others learn of it from the holder, so their watches may last long; each answer has a
+// cost.
+constexpr Duration kHolderRoutesWatchTime{1'500};
+constexpr Duration kFollowerRoutesWatchTime{25'000};
+// A watch that began before a node took the lease keeps its own, longer time, and reports nothing
+// if its connection has fallen silent: three nodes missed a configuration for 7 s. This is the time
+// of the holder's own watch plus that of a failed call.
+constexpr Duration kRoutesConfirmTimeout{2'000};
+// About the time of a failed call, so such reads follow one another without a pause.
+constexpr Duration kMinReadInterval{500};
+// Interval of lists on the node on which others rely, which find changes that a watch has missed.
+constexpr Duration kSharedListInterval{20'000};
+constexpr std::size_t kMaxUnreadableLogged = 64;
+constexpr std::size_t kMaxLoggedNameLength = 64;  // Characters.
 
-Duration PartOf(Duration whole, double part) {
+Duration FractionOf(Duration whole, double part) {
   return std::chrono::duration_cast<Duration>(whole * part);
 }
 
-// Empty: the store's own time.
+// Returns nullopt for the store's default.
 std::optional<Duration> RoutesWatchTime(const Followings& followings, Duration bound) {
   if (followings.configuration == Following::kForOthers) {
-    return PartOf(bound, kRoutesForOthersPart);
+    return FractionOf(bound, kSharedRoutesDelayFraction);
   }
   switch (followings.endpoints) {
     case Following::kForOthers:
-      return kRoutesWatchOfHolder;
+      return kHolderRoutesWatchTime;
     case Following::kHolder:
-      return kRoutesWatchWithHolder;
+      return kFollowerRoutesWatchTime;
     case Following::kStore:
     case Following::kStoreOnce:
       return std::nullopt;
@@ -63,7 +64,7 @@
   return std::nullopt;
 }
 
-// Lets a follower call the store as far as this way of following does.
+// Adjusts a follower's store calls to the way of following.
 void SetPace(FollowPace& pace, Following following) {
   pace.once = following == Following::kStoreOnce;
   if (following == Following::kHolder) {
@@ -90,8 +91,8 @@
       client_(context),
       routes_pace_(std::make_shared<FollowPace>(context)),
       endpoints_pace_(std::make_shared<FollowPace>(context)) {
-  routes_pace_->least_between = kBetweenConfigurations;
-  Follow(FollowingsAtStart(settings_));
+  routes_pace_->least_between = kMinConfigurationCallInterval;
+  ApplyFollowings(FollowingsAtStart(settings_));
 }
 
 void FleetShell::Start() {
@@ -101,12 +102,12 @@
 }
 
 Backoff FleetShell::MakeBackoff(const std::string& purpose) const {
-  return Backoff(kBackoffLeast, kBackoffMost, std::hash<std::string>{}(settings_.name + purpose));
+  return Backoff(kMinBackoff, kMaxBackoff, std::hash<std::string>{}(settings_.name + purpose));
 }
 
-void FleetShell::Failed(const std::string& kind, const StoreError& error) {
+void FleetShell::OnStoreError(const std::string& kind, const StoreError& error) {
   metrics_.Count({"rudderloom_platform_errors_total", "kind", NameOf(error.kind)});
-  if (failing_.insert(kind).second) {
+  if (failing_kinds_.insert(kind).second) {
     LogLine("dependency_lost", Severity::kWarning)
         .With("dependency", "store")
         .With("kind", kind)
@@ -114,13 +115,13 @@
   }
 }
 
-void FleetShell::Answered(const std::string& kind) {
-  if (failing_.erase(kind) > 0) {
+void FleetShell::OnStoreAnswer(const std::string& kind) {
+  if (failing_kinds_.erase(kind) > 0) {
     LogLine("dependency_regained").With("dependency", "store").With("kind", kind);
   }
 }
 
-void FleetShell::OfferRoutes(const StoredObject& object) {
+void FleetShell::PostRoutes(const StoredObject& object) {
   if (object.name != formats_.configuration_name) {
     return;
   }
@@ -136,20 +137,20 @@
   const std::string kind = formats_.configuration_kind;
   FollowHooks hooks;
   hooks.on_list = [this, kind](const ObjectList& list) {
-    Answered(kind);
+    OnStoreAnswer(kind);
     for (const StoredObject& object : list.objects) {
-      OfferRoutes(object);
+      PostRoutes(object);
     }
-    RoutesConfirmed();
+    MarkRoutesConfirmed();
   };
-  hooks.on_reached = [this](const StoreRevision&) { RoutesConfirmed(); };
+  hooks.on_reached = [this](const StoreRevision&) { MarkRoutesConfirmed(); };
   hooks.on_event = [this, kind](const WatchEvent& event) {
-    Answered(kind);
+    OnStoreAnswer(kind);
     if (event.kind == WatchEvent::Kind::kPut) {
-      OfferRoutes(event.object);
+      PostRoutes(event.object);
     }
   };
-  hooks.on_error = [this, kind](const StoreError& error) { Failed(kind, error); };
+  hooks.on_error = [this, kind](const StoreError& error) { OnStoreError(kind, error); };
   FollowOptions options{kind, MakeBackoff(kind), routes_pace_, formats_.lease_kind};
   co_await FollowKind(context_, store_, std::move(options), std::move(hooks));
 }
@@ -159,24 +160,24 @@
   auto listed = co_await store_.List(kind);
   reading_routes_ = false;
   if (auto* error = std::get_if<StoreError>(&listed)) {
-    Failed(kind, *error);
+    OnStoreError(kind, *error);
     co_return;
   }
   for (const StoredObject& object : std::get<ObjectList>(listed).objects) {
-    OfferRoutes(object);
+    PostRoutes(object);
   }
-  RoutesConfirmed();
+  MarkRoutesConfirmed();
 }
 
-void FleetShell::RoutesConfirmed() {
+void FleetShell::MarkRoutesConfirmed() {
   routes_confirmed_at_ = Now();
   post_(fleet_message::RoutesConfirmed{});
 }
 
 void FleetShell::ConfirmRoutes() {
   const TimePoint now = Now();
-  if (!follows_for_others_ || reading_routes_ || now - routes_read_at_ < kBetweenReads ||
-      now - routes_confirmed_at_ < kRoutesConfirmedWithin) {
+  if (!follows_for_others_ || reading_routes_ || now - routes_read_at_ < kMinReadInterval ||
+      now - routes_confirmed_at_ < kRoutesConfirmTimeout) {
     return;
   }
   routes_read_at_ = now;
@@ -184,15 +185,15 @@
   asio::co_spawn(context_, ReadRoutes(), asio::detached);
 }
 
-// An entry that can't be read names no endpoint to use. Other writers may write many of them: each
-// name is told once, and only so many.
+// An entry that can't be decoded describes no usable endpoint. Other writers may create many of
+// them, so each name is logged once, up to a limit.
 std::optional<EndpointRecord> FleetShell::ReadEndpoint(const StoredObject& object) {
   auto record = formats_.read_endpoint(object);
-  if (record || unreadable_.size() >= kUnreadableTold) {
+  if (record || logged_unreadable_.size() >= kMaxUnreadableLogged) {
     return record;
   }
-  std::string name = object.name.substr(0, kNameShown);
-  if (unreadable_.insert(name).second) {
+  std::string name = object.name.substr(0, kMaxLoggedNameLength);
+  if (logged_unreadable_.insert(name).second) {
     metrics_.Count({"rudderloom_unreadable_entries_total"});
     LogLine("endpoint_unreadable", Severity::kWarning).With("endpoint", name);
   }
@@ -203,7 +204,7 @@
   const std::string kind = formats_.endpoint_kind;
   FollowHooks hooks;
   hooks.on_list = [this, kind](const ObjectList& list) {
-    Answered(kind);
+    OnStoreAnswer(kind);
     fleet_message::EndpointsListed listed;
     listed.revision = list.version;
     for (const StoredObject& object : list.objects) {
@@ -211,25 +212,25 @@
         listed.records.push_back(std::move(*record));
       }
     }
-    lives_.Listed(listed.records);
+    instances_.Reset(listed.records);
     post_(std::move(listed));
   };
   hooks.on_event = [this](const WatchEvent& event) {
     const bool gone = event.kind == WatchEvent::Kind::kGone;
     auto record = gone ? std::nullopt : ReadEndpoint(event.object);
     if (record) {
-      lives_.Put(std::move(*record));
+      instances_.Put(std::move(*record));
     } else {
-      lives_.Gone(event.object.name);
+      instances_.Remove(event.object.name);
     }
   };
   hooks.on_reached = [this, kind](const StoreRevision& version) {
-    Answered(kind);
-    EndpointChanges changes = lives_.Take();
+    OnStoreAnswer(kind);
+    EndpointChanges changes = instances_.TakeChanges();
     changes.version = version;
     post_(fleet_message::EndpointsChanged{std::move(changes)});
   };
-  hooks.on_error = [this, kind](const StoreError& error) { Failed(kind, error); };
+  hooks.on_error = [this, kind](const StoreError& error) { OnStoreError(kind, error); };
   FollowOptions options{kind, MakeBackoff(kind), endpoints_pace_, formats_.lease_kind};
   co_await FollowKind(context_, store_, std::move(options), std::move(hooks));
 }
@@ -246,16 +247,16 @@
       asio::co_spawn(context_, WriteLease(std::move(*effects.lease_write)), asio::detached);
     }
     if (effects.followings) {
-      Follow(*effects.followings);
+      ApplyFollowings(*effects.followings);
     }
-    // A large configuration takes a small node's link for longer than the pause between two wishes;
-    // several reads at once would end none of them.
+    // On a small node's link, reading a large configuration may take longer than the interval
+    // between two requests for it; with several reads at once none would finish.
     if (effects.read_routes && !reading_routes_) {
       reading_routes_ = true;
       asio::co_spawn(context_, ReadRoutes(), asio::detached);
     }
     for (ReportCall& call : effects.placement.report_calls) {
-      asio::co_spawn(context_, AskReport(std::move(call)), asio::detached);
+      asio::co_spawn(context_, FetchReport(std::move(call)), asio::detached);
     }
     for (PlacementOrder& order : effects.placement.orders) {
       asio::co_spawn(context_, SendOrder(std::move(order)), asio::detached);
@@ -263,19 +264,19 @@
   });
 }
 
-void FleetShell::Follow(const Followings& followings) {
+void FleetShell::ApplyFollowings(const Followings& followings) {
   follows_for_others_ = followings.endpoints == Following::kForOthers;
   routes_pace_->watch_time = RoutesWatchTime(followings, settings_.bounds.configuration);
   const Duration drain = settings_.bounds.drain;
-  endpoints_pace_->least_between =
-      PartOf(drain, follows_for_others_ ? kEndpointForOthersPart : kEndpointPart);
+  endpoints_pace_->least_between = FractionOf(
+      drain, follows_for_others_ ? kSharedEndpointDelayFraction : kEndpointDelayFraction);
   endpoints_pace_->watch_time.reset();
   endpoints_pace_->list_every.reset();
   if (follows_for_others_) {
     endpoints_pace_->watch_time = endpoints_pace_->least_between;
-    endpoints_pace_->list_every = kListForOthersEvery;
+    endpoints_pace_->list_every = kSharedListInterval;
   }
-  // To go on as before is no reason for another list.
+  // An unchanged way of following needs no new list.
   if (!followings_ || followings_->endpoints != followings.endpoints) {
     SetPace(*endpoints_pace_, followings.endpoints);
   }
@@ -285,16 +286,16 @@
   followings_ = followings;
 }
 
-Awaitable<void> FleetShell::ReadLease(LeaseRead how) {
+Awaitable<void> FleetShell::ReadLease(LeaseRead consistency) {
   const std::string kind = formats_.lease_kind;
-  if (how == LeaseRead::kMayBeStale) {
+  if (consistency == LeaseRead::kMayBeStale) {
     auto listed = co_await store_.ListStale(kind);
     if (auto* error = std::get_if<StoreError>(&listed)) {
-      Failed(kind, *error);
+      OnStoreError(kind, *error);
       post_(fleet_message::LeaseUnread{});
       co_return;
     }
-    Answered(kind);
+    OnStoreAnswer(kind);
     fleet_message::LeaseSeen seen;
     seen.fresh = false;
     for (const StoredObject& object : std::get<ObjectList>(listed).objects) {
@@ -315,12 +316,12 @@
     if (error->kind == StoreError::Kind::kNotFound) {
       post_(fleet_message::LeaseSeen{std::nullopt, StoreRevision(error->era, 0)});
     } else {
-      Failed(kind, *error);
+      OnStoreError(kind, *error);
       post_(fleet_message::LeaseUnread{});
     }
     co_return;
   }
-  Answered(kind);
+  OnStoreAnswer(kind);
   const StoredObject& object = std::get<StoredObject>(read);
   post_(fleet_message::LeaseSeen{LeaseRecordFromJson(object.spec),
                                  object.version.value_or(StoreRevision())});
@@ -345,11 +346,11 @@
   post_(message);
 }
 
-Awaitable<void> FleetShell::AskReport(ReportCall call) {
+Awaitable<void> FleetShell::FetchReport(ReportCall call) {
   CallTimes times;
-  times.connect = kConnectLimit;
-  times.first_byte = kReportLimit;
-  times.between = kReportLimit;
+  times.connect = kConnectTimeout;
+  times.first_byte = kReportTimeout;
+  times.between = kReportTimeout;
   HttpRequest request = formats_.write_report_call(call.address);
   auto answer = co_await client_.Call(call.address, std::move(request), times, Reuse::kAllowed);
   fleet_message::EngineReported message;
@@ -357,7 +358,7 @@
   if (const auto* response = std::get_if<HttpResponse>(&answer)) {
     message.report = formats_.read_report(*response);
   }
-  // Another life has the endpoint's name and address: its entry tells of it.
+  // Another instance has the endpoint's name and address; its own entry announces it.
   if (message.report && message.report->born != call.born) {
     metrics_.Count({"rudderloom_reports_of_other_lives_total"});
     message.report.reset();
@@ -369,20 +370,21 @@
 Awaitable<void> FleetShell::SendOrder(PlacementOrder order) {
   fleet_message::OrderEnded message;
   message.order = order;
-  message.outcome = co_await Exchange(order);
+  message.outcome = co_await DeliverOrder(order);
   metrics_.Count({"rudderloom_orders_total", "outcome", NameOf(message.outcome)});
   post_(std::move(message));
 }
 
-Awaitable<PlacementOutcome> FleetShell::Exchange(const PlacementOrder& order) {
-  // Also a process that was frozen on the way here sees that the lease may have passed on.
+Awaitable<PlacementOutcome> FleetShell::DeliverOrder(const PlacementOrder& order) {
+  // Checked here so that a process that was frozen meanwhile notices that the lease may have passed
+  // to another node.
   if (Now() >= order.valid_until) {
     co_return PlacementOutcome::kLapsed;
   }
   CallTimes times;
-  times.connect = kConnectLimit;
-  times.first_byte = kOrderLimit;
-  times.between = kOrderLimit;
+  times.connect = kConnectTimeout;
+  times.first_byte = kOrderTimeout;
+  times.between = kOrderTimeout;
   HttpRequest request = formats_.write_order(order);
   auto answer = co_await client_.Call(order.address, std::move(request), times, Reuse::kNever);
   if (const auto* failure = std::get_if<HttpFailure>(&answer)) {
@@ -400,8 +402,8 @@
   while (true) {
     post_(fleet_message::Tick{due});
     ConfirmRoutes();
-    due = Now() + kTick;
-    co_await PauseFor(context_, kTick);
+    due = Now() + kTickInterval;
+    co_await PauseFor(context_, kTickInterval);
   }
 }
 
--- a/src/rudderloom/fleet/fleet_shell_test.cpp
+++ b/src/rudderloom/fleet/fleet_shell_test.cpp
@@ -7,7 +7,7 @@
 
 constexpr const char* kConfigurationKind = "configuration";
 
-// Lists at once; its watches say nothing, as on connections that have fallen silent.
+// Lists at once; its watches never report anything, as on connections that have fallen silent.
 class SilentStore : public ObjectStore {
  public:
   explicit SilentStore(asio::io_context& context) : context_(context) {}
@@ -25,10 +25,10 @@
     co_return list;
   }
   Awaitable<std::variant<StoredObject, StoreError>> Put(std::string, StoredObject) override {
-    co_return StoreError{StoreError::Kind::kUnreachable, "not in this fake"};
+    co_return StoreError{StoreError::Kind::kUnreachable, "not supported by this fake"};
   }
   Awaitable<std::variant<std::monostate, StoreError>> Delete(std::string, std::string) override {
-    co_return StoreError{StoreError::Kind::kUnreachable, "not in this fake"};
+    co_return StoreError{StoreError::Kind::kUnreachable, "not supported by this fake"};
   }
   Awaitable<StoreError> Watch(std::string,
                               StoreRevision,
@@ -45,9 +45,9 @@
   int watches_ = 0;
 };
 
-// A shell before a store that lists and then is silent.
-struct Setting {
-  explicit Setting(bool first_start = false) : store(context), shell(Make(first_start)) {
+// A shell with a store that lists and then falls silent.
+struct ShellFixture {
+  explicit ShellFixture(bool first_start = false) : store(context), shell(Make(first_start)) {
     shell.Start();
   }
 
@@ -73,43 +73,44 @@
   FleetShell shell;
 };
 
-// Further lists of the configuration within `time` by a node whose watches have fallen silent.
+// Number of further lists of the configuration within `time` by a node whose watches have fallen
+// silent.
 int ListsWithin(Following endpoints, std::chrono::milliseconds time) {
-  Setting setting;
-  setting.Follow(Following::kStore, Following::kStore);
-  setting.context.run_for(std::chrono::milliseconds(100));  // the watches are under way
-  const int before = setting.store.ConfigurationLists();
-  setting.Follow(endpoints, Following::kStore);
-  setting.context.run_for(time);
-  return setting.store.ConfigurationLists() - before;
+  ShellFixture fixture;
+  fixture.Follow(Following::kStore, Following::kStore);
+  fixture.context.run_for(std::chrono::milliseconds(100));  // The watches have started.
+  const int before = fixture.store.ConfigurationLists();
+  fixture.Follow(endpoints, Following::kStore);
+  fixture.context.run_for(time);
+  return fixture.store.ConfigurationLists() - before;
 }
 
-TEST_CASE("a node on which others rely reads a configuration that its watch is silent about") {
+TEST_CASE("a node on which others rely reads a configuration that its silent watch missed") {
   CHECK(ListsWithin(Following::kForOthers, std::chrono::milliseconds(2'600)) >= 1);
-  // All others hear from it: they ask no more often.
+  // All others get it from that node and do not list more often.
   CHECK(ListsWithin(Following::kHolder, std::chrono::milliseconds(2'600)) == 0);
 }
 
-TEST_CASE("a restarted node lists once and then leaves the store alone") {
-  Setting setting;
-  setting.context.run_for(std::chrono::milliseconds(300));
-  CHECK(setting.store.ConfigurationLists() == 1);
-  CHECK(setting.store.Watches() == 0);
-  // To go on hearing a word needs no further call.
-  setting.Follow(Following::kHolder, Following::kHolder);
-  setting.context.run_for(std::chrono::milliseconds(300));
-  CHECK(setting.store.ConfigurationLists() == 1);
-  setting.Follow(Following::kStore, Following::kHolder);
-  setting.context.run_for(std::chrono::milliseconds(300));
-  CHECK(setting.store.ConfigurationLists() == 1);
-  CHECK(setting.store.Watches() == 1);
+TEST_CASE("a restarted node lists once and then makes no more store calls") {
+  ShellFixture fixture;
+  fixture.context.run_for(std::chrono::milliseconds(300));
+  CHECK(fixture.store.ConfigurationLists() == 1);
+  CHECK(fixture.store.Watches() == 0);
+  // Continuing with the holder's digests needs no further call.
+  fixture.Follow(Following::kHolder, Following::kHolder);
+  fixture.context.run_for(std::chrono::milliseconds(300));
+  CHECK(fixture.store.ConfigurationLists() == 1);
+  fixture.Follow(Following::kStore, Following::kHolder);
+  fixture.context.run_for(std::chrono::milliseconds(300));
+  CHECK(fixture.store.ConfigurationLists() == 1);
+  CHECK(fixture.store.Watches() == 1);
 }
 
 TEST_CASE("at the first start of the whole system nodes do not call the store for lists") {
-  Setting setting(true);
-  setting.context.run_for(std::chrono::milliseconds(300));
-  CHECK(setting.store.ConfigurationLists() == 0);
-  CHECK(setting.store.Watches() == 0);
+  ShellFixture fixture(true);
+  fixture.context.run_for(std::chrono::milliseconds(300));
+  CHECK(fixture.store.ConfigurationLists() == 0);
+  CHECK(fixture.store.Watches() == 0);
 }
 
 }  // namespace
--- a/src/rudderloom/fleet/fleet_state.cpp
+++ b/src/rudderloom/fleet/fleet_state.cpp
@@ -10,41 +10,40 @@
 
 namespace {
 
-// Part of the drain time in which an endpoint without an entry may still be used.
-constexpr int kKeepGoneParts = 2;
-// Part of the time in which a change must be in force up to which what another node tells may be
-// old: the rest is for a call to the store, and for a change of the list to take effect.
-constexpr double kSharedPart = 0.4;
-// A watch is given so long to bring a configuration that a peer has already.
-constexpr Duration kRoutesBehind{400};
-// Planning right after each message would cost more than it brings: a plan, a statement for the
-// other nodes and a view for traffic cost in proportion to the fleet, whose messages come as often
-// as there are nodes and endpoints.
-// On a node with little processor time the same work takes longer, and leaves less for the rest:
-// with plans each 30 ms, a holder with 0.12 of a core beside 62 nodes learned 2.8 s late that
-// endpoints left.
-constexpr Duration kWorkPause{10};
-constexpr std::uint32_t kWorkPauseNodes = 16;
-constexpr Duration kWorkPauseMost{200};
-constexpr Duration kWordFresh{2'000};
-// Nodes that share limits, until the holder has counted them.
+// Divisor of the drain time: how long an endpoint without an entry may still be used.
+constexpr int kUnlistedRetentionDivisor = 2;
+// Maximum age of data received from another node, as a fraction of the time in which a change must
+// be in force: the rest is for a call to the store, and for a change of the list to take effect.
+constexpr double kMaxSharedAgeFraction = 0.4;
+// Time allowed for a watch to deliver a configuration that a peer already has.
+constexpr Duration kRoutesBehindGrace{400};
+// Planning after each message would cost more than it gains: the cost of a plan, a statement for
+// the other nodes and a view grows with the fleet, and the messages arrive as often as there are
+// nodes and endpoints. On a node with little processor time the same work takes longer and leaves
+// less time for the rest: with a plan every 30 ms, a holder with 0.12 of a core beside 62 nodes
+// learned 2.8 s late that endpoints were leaving.
+constexpr Duration kMinWorkInterval{10};
+constexpr std::uint32_t kWorkIntervalNodes = 16;
+constexpr Duration kMaxWorkInterval{200};
+constexpr Duration kDigestFreshTime{2'000};
+// Number of nodes that share limits, until the holder has counted them.
 constexpr std::uint32_t kAssumedNodes = 12;
 // By then all nodes have found a new holder and reported to it.
-constexpr Duration kReportsComplete{2'000};
+constexpr Duration kReportsCompleteAfter{2'000};
 
-Duration OldestShared(Duration bound) {
-  return std::chrono::duration_cast<Duration>(bound * kSharedPart);
+Duration MaxSharedAge(Duration bound) {
+  return std::chrono::duration_cast<Duration>(bound * kMaxSharedAgeFraction);
 }
 
-// Numbers of an earlier life of the process are told apart from this one's.
+// Keeps the report numbers of an earlier process apart from those of this one.
 std::uint64_t FirstReportNumber(const std::string& incarnation) {
-  constexpr unsigned kRoomForReports = 31;
-  return (std::hash<std::string>{}(incarnation) << kRoomForReports) + 1;
+  constexpr unsigned kReportNumberBits = 31;
+  return (std::hash<std::string>{}(incarnation) << kReportNumberBits) + 1;
 }
 
 SourceChoice MakeSource(const FleetSettings& settings, Duration bound) {
   const StartKind start = settings.first_start ? StartKind::kFirst : StartKind::kRestart;
-  return {OldestShared(bound), start, SpreadOf(settings.name)};
+  return {MaxSharedAge(bound), start, SpreadOf(settings.name)};
 }
 
 }  // namespace
@@ -57,7 +56,7 @@
 FleetState::FleetState(FleetSettings settings, std::string incarnation)
     : settings_(std::move(settings)),
       incarnation_(std::move(incarnation)),
-      directory_(settings_.bounds.drain / kKeepGoneParts),
+      directory_(settings_.bounds.drain / kUnlistedRetentionDivisor),
       endpoint_source_(MakeSource(settings_, settings_.bounds.drain)),
       configuration_source_(MakeSource(settings_, settings_.bounds.configuration)),
       followings_(FollowingsAtStart(settings_)),
@@ -78,54 +77,57 @@
   started_at_ = started_at_ == TimePoint() ? now : started_at_;
   std::visit([&](const auto& message) { On(message, now); }, any);
   FleetEffects effects;
-  // Many nodes' counts come many times between two ticks: the next tick works with all of them.
+  // The counts of many nodes arrive many times between two ticks: the next tick processes all of
+  // them.
   const bool counted = std::holds_alternative<fleet_message::PeerCounted>(any);
   const bool granted = std::holds_alternative<fleet_message::RequestGranted>(any);
-  if ((counted && live_nodes_ > kWorkPauseNodes) || granted) {
+  if ((counted && live_nodes_ > kWorkIntervalNodes) || granted) {
     return effects;
   }
-  MoveLease(effects, now);
-  MovePlacement(effects, now);
+  UpdateLease(effects, now);
+  UpdatePlacement(effects, now);
   AnnounceOrders(effects, now);
   CatchUpRoutes(effects, now);
-  MoveFollowing(effects, now);
-  MoveWord(effects, now);
-  if (std::exchange(era_is_news_, false)) {
+  UpdateFollowings(effects, now);
+  UpdateDissemination(effects, now);
+  if (std::exchange(era_unannounced_, false)) {
     effects.store_era = store_era_;
   }
   if (limits_.TakeChanged()) {
-    ChangedForTraffic();
+    MarkViewUrgent();
   }
   if (ViewDue(now)) {
-    changed_ = false;
-    changed_much_ = false;
+    view_changed_ = false;
+    view_urgent_ = false;
     viewed_at_ = now;
     effects.view = MakeView(now);
   }
   return effects;
 }
 
-Duration FleetState::WorkPause() const {
-  if (live_nodes_ <= kWorkPauseNodes) {
-    return kWorkPause;
+Duration FleetState::WorkInterval() const {
+  if (live_nodes_ <= kWorkIntervalNodes) {
+    return kMinWorkInterval;
   }
   const double share = std::min(1.0, settings_.processor_share);
-  const auto pause = static_cast<double>((kWorkPause * (live_nodes_ / kWorkPauseNodes)).count());
-  return std::min(kWorkPauseMost, Duration(static_cast<Duration::rep>(pause / share)));
+  const auto pause =
+      static_cast<double>((kMinWorkInterval * (live_nodes_ / kWorkIntervalNodes)).count());
+  return std::min(kMaxWorkInterval, Duration(static_cast<Duration::rep>(pause / share)));
 }
 
-void FleetState::ChangedForTraffic() {
-  changed_ = true;
-  changed_much_ = true;
+void FleetState::MarkViewUrgent() {
+  view_changed_ = true;
+  view_urgent_ = true;
 }
 
 bool FleetState::ViewDue(TimePoint now) const {
-  return changed_ && (changed_much_ || now - viewed_at_ >= WorkPause());
+  return view_changed_ && (view_urgent_ || now - viewed_at_ >= WorkInterval());
 }
 
-// Lets the holder plan and order; what it may order is bounded by the lease's time.
-void FleetState::MovePlacement(FleetEffects& effects, TimePoint now) {
-  if (!holds_ || RoutesVersion() == 0 || !endpoints_known_ || now - planned_at_ < WorkPause()) {
+// Makes a plan and orders, as the holder; orders are limited by the lease's validity.
+void FleetState::UpdatePlacement(FleetEffects& effects, TimePoint now) {
+  if (!holds_lease_ || RoutesVersion() == 0 || !endpoints_known_ ||
+      now - planned_at_ < WorkInterval()) {
     return;
   }
   planned_at_ = now;
@@ -136,21 +138,22 @@
   effects.placement = placement_.Tick(*routes_.Get().Current(), directory_.Endpoints(), board_,
                                       sums_.all, lease, now);
   PublishServing();
-  changed_ = changed_ || !NearlyEqual(forecast_, effects.placement.forecast);
+  view_changed_ = view_changed_ || !NearlyEqual(forecast_, effects.placement.forecast);
   forecast_ = std::move(effects.placement.forecast);
-  MoveBalances(now);
+  UpdateBalances(now);
   live_nodes_ = CountNodes(now);
   ChooseRelays(now);
   effects.statement = MakeStatement(now);
 }
 
-// Nodes that share limits. Those that have not reported to a new holder yet are not dead.
+// Number of nodes that share limits. Nodes that have not reported to a new holder yet are not
+// assumed to be dead.
 std::uint32_t FleetState::CountNodes(TimePoint now) const {
   const std::uint32_t reported = std::max(1U, board_.Nodes(now));
-  return now - held_since_ < kReportsComplete ? std::max(live_nodes_, reported) : reported;
+  return now - held_since_ < kReportsCompleteAfter ? std::max(live_nodes_, reported) : reported;
 }
 
-// Tells in the log what has changed in what requests may be sent for.
+// Records changes of the models that requests may be sent for in the serving log.
 void FleetState::PublishServing() {
   const std::uint64_t version = ServingVersion();
   if (serving_log_.Get().Version() == version) {
@@ -163,27 +166,27 @@
     serving_log_.Change() = ServingLog();
     serving_log_.Change().Replace(placement_.Serving(), version);
   }
-  changed_ = true;
+  view_changed_ = true;
 }
 
 std::uint64_t FleetState::RoutesVersion() const {
   return routes_.Get().Version();
 }
 
-void FleetState::PeerHasRoutes(std::uint64_t version, TimePoint now) {
+void FleetState::NotePeerRoutes(std::uint64_t version, TimePoint now) {
   newest_routes_ = std::max(newest_routes_, version);
   if (newest_routes_ > RoutesVersion() && !routes_behind_) {
     routes_behind_ = now;
   }
 }
 
-// A watch can stay silent without an error. When a peer's configuration is newer for a while, the
-// platform is asked again.
+// A watch can fall silent without an error. When a peer has had a newer configuration for a while,
+// the platform is read again.
 void FleetState::CatchUpRoutes(FleetEffects& effects, TimePoint now) {
   if (newest_routes_ <= RoutesVersion()) {
     routes_behind_.reset();
   }
-  if (!routes_behind_ || now - *routes_behind_ < kRoutesBehind) {
+  if (!routes_behind_ || now - *routes_behind_ < kRoutesBehindGrace) {
     return;
   }
   effects.read_routes = true;
@@ -200,7 +203,7 @@
 
 void FleetState::On(const fleet_message::RoutesSeen& seen, TimePoint) {
   if (seen.routes->Version() > RoutesVersion() && routes_.Change().Offer(seen.routes)) {
-    RoutesInForce();
+    OnRoutesChanged();
   }
 }
 
@@ -208,8 +211,8 @@
   configuration_source_.Confirmed(now);
 }
 
-void FleetState::RoutesInForce() {
-  ChangedForTraffic();
+void FleetState::OnRoutesChanged() {
+  MarkViewUrgent();
   const RouteTable& routes = *routes_.Get().Current();
   LogLine("configuration_in_force")
       .With("version", routes.Version())
@@ -221,10 +224,10 @@
   board_.Counted(sampled.counts, now);
   group_.CountedSelf(sampled.counts);
   spending_.CountedSelf(sampled.counts.spending);
-  TakeCrashNews(sampled.counts.crash_news, now);
-  TakeLimits(sampled.counts.limits, now);
+  RecordCrashNews(sampled.counts.crash_news, now);
+  RecordLimits(sampled.counts.limits, now);
   for (const auto& [unit, count] : sampled.counts.units) {
-    urgent_ = urgent_ || count.waiting > 0;
+    report_urgent_ = report_urgent_ || count.waiting > 0;
   }
 }
 
@@ -233,20 +236,20 @@
   group_.Counted(counted.counts, now);
   spending_.Counted(counted.counts.node, counted.counts.report_number, counted.counts.spending,
                     now);
-  PeerHasRoutes(counted.counts.routes_version, now);
+  NotePeerRoutes(counted.counts.routes_version, now);
   if (counted.counts.tells_era && counted.counts.endpoints_seen != StoreRevision()) {
     NoteEra(counted.counts.endpoints_seen.Era());
   }
-  TakeCrashNews(counted.counts.crash_news, now);
-  TakeLimits(counted.counts.limits, now);
+  RecordCrashNews(counted.counts.crash_news, now);
+  RecordLimits(counted.counts.limits, now);
 }
 
 void FleetState::On(const fleet_message::EngineReported& reported, TimePoint now) {
-  if (holds_) {
+  if (holds_lease_) {
     placement_.Reported(reported.instance, reported.report, now);
   }
-  if (reported.report && directory_.Reported(reported.instance, *reported.report)) {
-    changed_ = true;
+  if (reported.report && directory_.ApplyReport(reported.instance, *reported.report)) {
+    view_changed_ = true;
   }
 }
 
@@ -259,46 +262,47 @@
 }
 
 void FleetState::On(const fleet_message::Tick& tick, TimePoint now) {
-  retell_ = true;
+  statement_due_ = true;
   if (tick.due) {
-    lag_.Handled(*tick.due, now);
+    lag_.RecordTick(*tick.due, now);
     LogLag(now);
   }
   if (directory_.Expire(now)) {
-    ChangedForTraffic();
+    MarkViewUrgent();
   }
   ExpireQuarantine(now);
   ExpireLimits(now);
 }
 
 LoadTable FleetState::OtherLoads(TimePoint now) const {
-  if (holds_) {
+  if (holds_lease_) {
     return sums_.Without(settings_.name);
   }
-  if (!WordFresh(now)) {
+  if (!DigestFresh(now)) {
     return {};
   }
-  LoadTable loads = heard_->digest.loads;
+  LoadTable loads = received_->digest.loads;
   for (const auto& [endpoint, load] : group_.Sums(now).Without(settings_.name)) {
     loads[endpoint] += load;
   }
   return loads;
 }
 
-// The holder's own forecast; on other nodes the one in its last digest, while that is fresh.
+// Returns the holder's own forecast; on other nodes the one in the last digest, while that is
+// fresh.
 LoadForecastPtr FleetState::CurrentForecast(TimePoint now) const {
-  if (holds_) {
+  if (holds_lease_) {
     return std::make_shared<const LoadForecast>(forecast_);
   }
-  if (!WordFresh(now) || heard_->digest.loads_due.empty()) {
+  if (!DigestFresh(now) || received_->digest.loads_due.empty()) {
     return nullptr;
   }
   return std::make_shared<const LoadForecast>(
-      ForecastFrom(heard_->digest.loads_due, heard_->made_at));
+      ForecastFrom(received_->digest.loads_due, received_->made_at));
 }
 
-bool FleetState::WordFresh(TimePoint now) const {
-  return heard_ && now - heard_->made_at < kWordFresh;
+bool FleetState::DigestFresh(TimePoint now) const {
+  return received_ && now - received_->made_at < kDigestFreshTime;
 }
 
 FleetViewPtr FleetState::MakeView(TimePoint now) const {
@@ -306,8 +310,8 @@
   view->routes = routes_.Get().Current();
   view->endpoints_known = endpoints_known_;
   view->live_nodes = live_nodes_;
-  view->quota = quota_word_;
-  view->quota_holder = holds_ ? settings_.listen.peers : upstream_.Holder();
+  view->quota = quota_snapshot_;
+  view->quota_holder = holds_lease_ ? settings_.listen.peers : upstream_.Holder();
   view->quota_relay = quota_relay_;
   view->quarantine = quarantine_;
   view->limits = limits_.ForTraffic();
@@ -315,7 +319,7 @@
   view->deputy = Deputy();
   view->load_forecast = CurrentForecast(now);
   const LoadTable loads = OtherLoads(now);
-  const bool placed = holds_ || WordFresh(now);
+  const bool placed = holds_lease_ || DigestFresh(now);
   for (const auto& [instance, known] : directory_.Endpoints()) {
     if (known.record.leaving) {
       continue;
--- a/src/rudderloom/fleet/fleet_state_test.cpp
+++ b/src/rudderloom/fleet/fleet_state_test.cpp
@@ -25,7 +25,7 @@
   return settings;
 }
 
-// Ticks until `end`; counts how often the configuration is to be read beside the watch.
+// Ticks until `end`; counts how often a read of the configuration outside the watch is requested.
 int ReadsUntil(FleetState& state, int from, int end) {
   int reads = 0;
   for (int ms = from; ms < end; ms += 50) {
@@ -34,13 +34,13 @@
   return reads;
 }
 
-// Hands over the lease's object, and gives back the write that takes it.
+// Passes in an absent lease object, and returns the write that takes the lease.
 std::optional<LeaseWrite> TakeLease(FleetState& state, int ms) {
   auto effects = state.Handle(fleet_message::LeaseSeen{std::nullopt, {}, true}, At(ms));
   return effects.lease_write;
 }
 
-TEST_CASE("a configuration that the holder has and the watch does not bring is asked for") {
+TEST_CASE("a configuration that the holder has and the watch does not deliver is read") {
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::RoutesSeen{Routes(6)}, At(0));
   HolderDigest digest;
@@ -48,14 +48,14 @@
   digest.epoch = 1;
   digest.routes_version = 10;
   state.Handle(fleet_message::DigestHeard{digest, ""}, At(100));
-  // The watch gets a moment to bring it.
+  // The watch is given some time to deliver it.
   CHECK(ReadsUntil(state, 100, 400) == 0);
   CHECK(ReadsUntil(state, 400, 1'000) >= 1);
   state.Handle(fleet_message::RoutesSeen{Routes(10)}, At(1'000));
   CHECK(ReadsUntil(state, 1'000, 5'000) == 0);
 }
 
-TEST_CASE("a holder that is behind one of the nodes asks for the newer configuration") {
+TEST_CASE("a holder that is behind another node reads the newer configuration") {
   FleetState state(Settings("n1"), "x");
   state.Handle(fleet_message::RoutesSeen{Routes(6)}, At(0));
   NodeCounts counts;
@@ -65,7 +65,7 @@
   CHECK(ReadsUntil(state, 100, 1'000) >= 1);
 }
 
-TEST_CASE("a holder that has stopped releases its lease and sends nothing more") {
+TEST_CASE("a stopping holder releases its lease and sends no more orders") {
   FleetState state(Settings("n1"), "x");
   const auto write = TakeLease(state, 0);
   REQUIRE(write);
@@ -101,7 +101,7 @@
   return digest;
 }
 
-// Ticks until `end`; the last change of how the endpoints are followed, if any.
+// Ticks until `end`; returns the last change of how the endpoints are followed, if any.
 std::optional<Following> FollowingUntil(FleetState& state, int from, int end) {
   std::optional<Following> following;
   for (int ms = from; ms < end; ms += 50) {
@@ -111,7 +111,7 @@
   return following;
 }
 
-TEST_CASE("a node takes the endpoints from the holder and asks the store when it falls silent") {
+TEST_CASE("a node takes the endpoints from the holder and reads the store when it falls silent") {
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1"), Endpoint("e2")}, Revision(10)},
                At(0));
@@ -121,7 +121,7 @@
     following = effects.followings ? effects.followings->endpoints : following;
   }
   CHECK(following == Following::kHolder);
-  // What the holder tells is in force at once; what is older than the node's own list is not.
+  // The holder's changes take effect at once; changes older than the node's own list do not.
   auto effects =
       state.Handle(fleet_message::DigestHeard{DigestOf(12, {Endpoint("e1", true)}), ""}, At(2'000));
   REQUIRE(effects.view);
@@ -133,7 +133,7 @@
   CHECK(FollowingUntil(state, 2'700, 3'000) == Following::kStore);
 }
 
-TEST_CASE("what the store told before the holder did changes nothing when it comes late") {
+TEST_CASE("a late store answer older than the holder's digest changes nothing") {
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1"), Endpoint("e2")}, Revision(10)},
                At(0));
@@ -146,13 +146,13 @@
   state.Handle(fleet_message::EndpointsChanged{late}, At(200));
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1"), Endpoint("e2")}, Revision(16)},
                At(300));
-  // An endpoint that is listed no more is forgotten after half of the drain time.
+  // An endpoint that is no longer listed is removed after half of the drain time.
   const auto effects = state.Handle(fleet_message::Tick{}, At(1'500));
   REQUIRE(effects.view);
   CHECK(effects.view->endpoints.size() == 1);
 }
 
-TEST_CASE("a new holder does not take nodes that have not reported to it yet for dead") {
+TEST_CASE("a new holder counts nodes that have not reported to it yet as alive") {
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::RoutesSeen{Routes(1)}, At(0));
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
@@ -164,20 +164,20 @@
   auto effects = state.Handle(fleet_message::Tick{}, At(200));
   REQUIRE(effects.statement);
   CHECK(effects.statement->common.nodes == 8);
-  // Later on, only those count that have reported.
+  // Later, only nodes that have reported count.
   effects = state.Handle(fleet_message::Tick{}, At(2'200));
   REQUIRE(effects.statement);
   CHECK(effects.statement->common.nodes == 1);
 }
 
 // Stale reads of the lease within two seconds by a node of a fleet of 64.
-int LooksOf(bool standby, bool renewals_fail) {
+int CountLeaseReads(bool standby, bool renewals_fail) {
   FleetState state(Settings("n2"), "x");
   state.Handle(
       fleet_message::LeaseSeen{LeaseRecord{"n1:1", "y", 1, 1, false, {}, {}}, Revision(1), true},
       At(0));
   state.Handle(fleet_message::LeaseUnread{}, At(10));
-  int looks = 0;
+  int reads = 0;
   for (int ms = 50; ms <= 2'000; ms += 50) {
     HolderDigest digest;
     digest.holds = true;
@@ -187,22 +187,22 @@
     digest.renewals_fail = renewals_fail;
     const auto effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(ms));
     if (effects.lease_read) {
-      ++looks;
+      ++reads;
       state.Handle(fleet_message::LeaseUnread{}, At(ms));
     }
   }
-  return looks;
+  return reads;
 }
 
-TEST_CASE("standbys look at the lease often, more so when its holder can't renew it") {
-  CHECK(LooksOf(false, false) <= 1);
-  CHECK(LooksOf(true, false) >= 2);
-  CHECK(LooksOf(true, true) >= 5);
-  CHECK(LooksOf(true, true) <= 8);
+TEST_CASE("standbys check the lease often, and more often when its holder can't renew it") {
+  CHECK(CountLeaseReads(false, false) <= 1);
+  CHECK(CountLeaseReads(true, false) >= 2);
+  CHECK(CountLeaseReads(true, true) >= 5);
+  CHECK(CountLeaseReads(true, true) <= 8);
 }
 
-// How many plans a holder makes in three seconds, told by its statements.
-int PlansOf(double processor_share, int nodes) {
+// Number of plans that a holder makes in three seconds, counted by its statements.
+int CountPlans(double processor_share, int nodes) {
   FleetSettings settings = Settings("n0");
   settings.processor_share = processor_share;
   FleetState state(settings, "x");
@@ -234,13 +234,13 @@
 }
 
 TEST_CASE("a holder plans as often as its processor time and the size of the fleet allow") {
-  CHECK(PlansOf(1.0, 8) >= 80);
-  CHECK(PlansOf(1.0, 64) >= 20);
-  CHECK(PlansOf(0.12, 64) <= 6);
-  CHECK(PlansOf(0.12, 64) >= 4);
+  CHECK(CountPlans(1.0, 8) >= 80);
+  CHECK(CountPlans(1.0, 64) >= 20);
+  CHECK(CountPlans(0.12, 64) <= 6);
+  CHECK(CountPlans(0.12, 64) >= 4);
 }
 
-TEST_CASE("a holder of many nodes works with all their counts at its next tick") {
+TEST_CASE("a holder of many nodes processes all their counts at its next tick") {
   FleetState state(Settings("n1"), "x");
   state.Handle(fleet_message::RoutesSeen{Routes(1)}, At(0));
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
@@ -262,7 +262,7 @@
   CHECK(told.loads.at(KeyOf("e1")) == EndpointLoad{158, 79, 50'560});
 }
 
-TEST_CASE("the holder tells each node what it lacks, and how old that is") {
+TEST_CASE("the holder sends each node what it lacks, and how old that is") {
   FleetState state(Settings("n1"), "x");
   REQUIRE(TakeLease(state, 0));
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1"), Endpoint("e2")}, Revision(10)},
@@ -273,7 +273,7 @@
   CHECK(effects.followings->endpoints == Following::kForOthers);
   NodeCounts asking;
   asking.node = "n2";
-  // Whether there are relays that tell it is not known at first.
+  // At first it is not known whether there are relays to answer it.
   CHECK_FALSE(DigestFor(*effects.statement, asking, At(5)).endpoints_age);
   effects = state.Handle(fleet_message::Tick{}, At(410));
   REQUIRE(effects.statement);
@@ -293,23 +293,24 @@
   CHECK(digest.endpoints_age == Duration(180));
 }
 
-EndpointRecord Holding(const std::string& instance, const std::string& model) {
+EndpointRecord EndpointWithModel(const std::string& instance, const std::string& model) {
   EndpointRecord record = Endpoint(instance);
   record.models = {{model, 1, {}}};
   return record;
 }
 
-TEST_CASE("an entry of which only the models changed is not told to other nodes") {
+TEST_CASE("an entry of which only the models changed is not sent to other nodes") {
   FleetState state(Settings("n1"), "x");
   REQUIRE(TakeLease(state, 0));
   state.Handle(
-      fleet_message::EndpointsListed{{Holding("e1", "m"), Holding("e2", "m")}, Revision(10)},
+      fleet_message::EndpointsListed{{EndpointWithModel("e1", "m"), EndpointWithModel("e2", "m")},
+                                     Revision(10)},
       At(1));
   state.Handle(fleet_message::LeaseWritten{Revision(1)}, At(5));
   state.Handle(fleet_message::RoutesSeen{Routes(1)}, At(20));
   EndpointChanges changes;
   changes.version = Revision(14);
-  changes.values = {{"e1", Holding("e1", "n")}, {"e2", Endpoint("e2", true)}};
+  changes.values = {{"e1", EndpointWithModel("e1", "n")}, {"e2", Endpoint("e2", true)}};
   const auto effects = state.Handle(fleet_message::EndpointsChanged{changes}, At(520));
   REQUIRE(effects.statement);
   NodeCounts asking;
@@ -321,10 +322,10 @@
   CHECK(digest.endpoints.values.front().first == "e2");
 }
 
-TEST_CASE("what the holder last said to be served counts on when it falls silent") {
+TEST_CASE("the models last served according to the holder remain in use when it falls silent") {
   FleetState state(Settings("n2"), "x");
-  state.Handle(fleet_message::EndpointsListed{{Holding("e1", "m")}, Revision(10)}, At(0));
-  // A new version of the entry, as the holder tells it, says nothing of models.
+  state.Handle(fleet_message::EndpointsListed{{EndpointWithModel("e1", "m")}, Revision(10)}, At(0));
+  // A new version of the entry, as the holder sends it, does not include models.
   EndpointRecord moved = Endpoint("e1");
   moved.slots = 4;
   moved.tells_models = false;
@@ -347,7 +348,7 @@
   CHECK(FindModel(effects.view->endpoints.front().record.models, "m") == nullptr);
 }
 
-TEST_CASE("an era of the store that another node knows first is told to the store's client, once") {
+TEST_CASE("a store era first known to another node is passed to the store client once") {
   FleetState state(Settings("n1"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
   NodeCounts counts;
@@ -359,8 +360,9 @@
   CHECK_FALSE(effects.store_era);
 }
 
-// It may be one behind, and stay there: its list would undo what the store has told since.
-TEST_CASE("after a restore the list of a holder that knows no eras is not heeded") {
+// The holder may be one era behind and stay there: its list would undo what the store has reported
+// since.
+TEST_CASE("after a restore the list of a holder that does not support eras is ignored") {
   FleetState state(Settings("n1"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
   HolderDigest digest = DigestOf(12, {Endpoint("e2")});
@@ -372,15 +374,15 @@
   digest = DigestOf(40, {Endpoint("e3")});
   digest.tells_era = false;
   effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(300));
-  // What the copy lacks is kept for a while, in case its entry is written again.
+  // An endpoint that the backup lacks is kept for a while, in case its entry is written again.
   state.Handle(fleet_message::Tick{}, At(3'000));
   effects = state.Handle(fleet_message::Tick{}, At(5'000));
   REQUIRE(effects.view);
   CHECK(effects.view->endpoints.size() == 1);
 }
 
-// Its list was confirmed by the store a short while ago, but before it came back from a copy.
-TEST_CASE("a word of an older era than this node's own confirms nothing") {
+// The store confirmed the holder's list a short while ago, but before it was restored.
+TEST_CASE("a digest of an older era than this node's own confirms nothing") {
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, StoreRevision(1, 4)}, At(0));
   std::optional<Following> following;
@@ -391,7 +393,7 @@
   CHECK(following != Following::kHolder);
 }
 
-TEST_CASE("an answer of an older era that comes late changes nothing, also when it found nothing") {
+TEST_CASE("a late answer of an older era changes nothing, even if it found no object") {
   FleetState state(Settings("n2"), "x");
   const LeaseRecord record{"n1:1", "y", 1, 1, false, {}, {}};
   state.Handle(fleet_message::LeaseSeen{record, StoreRevision(1, 4), true}, At(0));
--- a/src/rudderloom/fleet/fleet_suspension_test.cpp
+++ b/src/rudderloom/fleet/fleet_suspension_test.cpp
@@ -1,8 +1,8 @@
-// Machines that are suspended for seconds, and what their nodes do right after they wake.
+// Machines that are suspended for seconds, and the behavior of their nodes right after waking up.
 //
-// A clock that stands still meanwhile leaves a holder of the lease its lease of 2.5 s: as it wakes
-// it is the holder for so long again, beside the next one. The same check fails with such a clock,
-// which is played here beside the one that goes on.
+// With a clock that stops during the suspension, a holder still has up to 2.5 s of its lease left
+// when it wakes up, and so acts as the holder at the same time as the next one. The test runs with
+// such a clock as well, for which the check has to find two holders.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include "fakes/fleet_world.hpp"  // for FleetWorld
@@ -15,16 +15,16 @@
 
 constexpr int kFirstTick = 60;
 
-// At one moment, in the seconds after the holder's machine wakes.
-int MostHoldersAfterWaking(int suspended_for, int clock_lags) {
+// Maximum number of holders at one moment, in the seconds after the holder's machine wakes up.
+int MaxHoldersAfterWaking(int suspended_for, int clock_stopped_for) {
   FleetWorldOptions options;
   options.nodes = 6;
   FleetWorld world(options);
   world.Play(6'000);
   const int holder = world.Holder().value_or(0);
-  world.Suspend(holder, suspended_for, clock_lags);
+  world.Suspend(holder, suspended_for, clock_stopped_for);
   world.Play(suspended_for);
-  // It looks at its lease before it decides anything, also in the first message that it handles.
+  // It checks its lease before it decides anything, even in the first message that it handles.
   world.Play(kFirstTick);
   int most = 0;
   for (int played = 0; played < 4'000; played += 5) {
@@ -34,16 +34,16 @@
   return most;
 }
 
-TEST_CASE("a holder that was suspended is none when it wakes, by a clock that went on") {
+TEST_CASE("a suspended holder is not the holder when it wakes up, with a clock that kept running") {
   for (const int suspended_for : {2'700, 4'000, 8'000, 20'000}) {
     CAPTURE(suspended_for);
-    CHECK(MostHoldersAfterWaking(suspended_for, 0) == 1);
-    // What the check finds where time stood still.
-    CHECK(MostHoldersAfterWaking(suspended_for, suspended_for) == 2);
+    CHECK(MaxHoldersAfterWaking(suspended_for, 0) == 1);
+    // With a clock that stopped, the check finds two holders.
+    CHECK(MaxHoldersAfterWaking(suspended_for, suspended_for) == 2);
   }
 }
 
-TEST_CASE("a holder that was suspended tells nobody its old word as a new one") {
+TEST_CASE("a suspended holder does not send its old state as new") {
   FleetWorldOptions options;
   options.nodes = 6;
   FleetWorld world(options);
