--- a/include/rudderloom/callers/call_context.hpp
+++ b/include/rudderloom/callers/call_context.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What every call of a caller needs while it is served.
+/// Shared state and helper functions for serving requests.
 #ifndef RUDDERLOOM_CALLERS_CALL_CONTEXT_HPP
 #define RUDDERLOOM_CALLERS_CALL_CONTEXT_HPP
 
@@ -17,7 +17,7 @@
 
 namespace rudderloom {
 
-/// @brief Parts that the calls of one traffic thread share.
+/// @brief References to the components that all requests of one traffic thread share.
 /// @ingroup callers
 struct CallContext {
   asio::io_context& context;
@@ -28,43 +28,44 @@
   ClaimKeeper& claims;
   Metrics& metrics;
   CrashWatch& crashes;
-  /// @brief Called with `endpoint#incarnation` when an answer says that it is leaving.
-  std::function<void(std::string)> leaving;
+  /// @brief Called with `endpoint#incarnation` when a response announces a shutdown.
+  std::function<void(std::string)> on_endpoint_leaving;
 };
 
-/// @brief Counts a refusal, logs it and sends it at once.
+/// @brief Counts and logs a refusal and sends it to the caller.
 /// @ingroup callers
-Awaitable<void> Refuse(CallContext& shared,
-                       HttpExchange& exchange,
-                       Refusal refusal,
-                       std::string request_id);
+Awaitable<void> SendRefusal(CallContext& shared,
+                            HttpExchange& exchange,
+                            Refusal refusal,
+                            std::string request_id);
 
-/// @brief The refusal that admission's decision shows to the caller.
-/// @param known Whether any endpoint serves the target at this moment.
+/// @brief Converts a decision of the admission queue to a refusal.
+/// @param has_endpoints Whether any endpoint serves the target at present.
 /// @ingroup callers
-Refusal RefusalOf(const AdmissionRefusal& refused, bool known);
+Refusal ToRefusal(const AdmissionRefusal& refused, bool has_endpoints);
 
-/// @brief The refusal that follows from giving up after a failed attempt.
+/// @brief Converts the decision not to retry after `failure` to a refusal.
 /// @ingroup callers
-Refusal RefusalOf(const GiveUp& given_up, AttemptFailure failure);
+Refusal ToRefusal(const GiveUp& given_up, AttemptFailure failure);
 
-/// @brief Heeds an endpoint's word that it is leaving; true when it said so.
+/// @brief Reports the endpoint as leaving if the response header says so. Returns whether it does.
 /// @ingroup callers
-bool HeedLeaving(CallContext& shared, const EndpointView& endpoint, const HttpStream& answer);
+bool ReportIfLeaving(CallContext& shared, const EndpointView& endpoint, const HttpStream& response);
 
-/// @brief What a failed exchange means; `cut` says which kind a broken connection is.
+/// @brief Classifies a failed HTTP exchange.
+/// @param on_disconnect Result for a connection that broke after data was sent.
 /// @ingroup callers
-AttemptFailure FailureOf(const HttpFailure& failure, AttemptFailure cut);
+AttemptFailure ClassifyFailure(const HttpFailure& failure, AttemptFailure on_disconnect);
 
-/// @brief Reads the rest of an answer, up to the largest that is kept in memory.
+/// @brief Reads the rest of the response body. Fails if it exceeds 16 MiB.
 /// @ingroup callers
-Awaitable<std::variant<std::string, HttpFailure>> ReadWhole(HttpStream& answer);
+Awaitable<std::variant<std::string, HttpFailure>> ReadFullBody(HttpStream& response);
 
-/// @brief Serves one `POST /v1/chat/completions` or `/v1/completions`.
+/// @brief Serves a `POST /v1/chat/completions` or `POST /v1/completions` request.
 /// @ingroup callers
 Awaitable<void> ServeCompletion(CallContext& shared, HttpExchange& exchange, RequestInfo info);
 
-/// @brief Serves one call of a plain service.
+/// @brief Serves a request to a plain service under `/services/`.
 /// @ingroup callers
 Awaitable<void> ServeService(CallContext& shared, HttpExchange& exchange, RequestInfo info);
 
--- a/include/rudderloom/callers/dispatcher.hpp
+++ b/include/rudderloom/callers/dispatcher.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Lets requests in and gives each an endpoint: admission and routing of one traffic thread.
+/// Admission and routing for the requests of one traffic thread.
 #ifndef RUDDERLOOM_CALLERS_DISPATCHER_HPP
 #define RUDDERLOOM_CALLERS_DISPATCHER_HPP
 
@@ -17,9 +17,9 @@
 
 namespace rudderloom {
 
-/// @brief What one attempt asks for.
+/// @brief Parameters for admitting and routing one attempt.
 /// @ingroup callers
-struct DispatchAsk {
+struct DispatchRequest {
   std::string target;    ///< Name of a model, adapter or service.
   bool service = false;  ///< Whether `target` names a service.
   std::string caller;
@@ -28,7 +28,7 @@
   RouteAsk route;
 };
 
-/// @brief An endpoint to use now; give it back with Release.
+/// @brief A reserved place on an endpoint. Return it with Dispatcher::Release.
 /// @ingroup callers
 struct Grant {
   EndpointView endpoint;
@@ -37,39 +37,39 @@
   TimePoint started;
 };
 
-/// @brief Admission and routing for one io_context; use from its thread only.
+/// @brief Admits and routes requests. Not thread-safe: use it on the io_context's thread only.
 /// @ingroup callers
 class Dispatcher {
  public:
   Dispatcher(asio::io_context& context, std::size_t queue, std::uint64_t seed);
 
-  /// @brief Takes a new snapshot.
-  void Use(SnapshotPtr snapshot);
+  /// @brief Replaces the snapshot and dispatches waiting requests.
+  void UpdateSnapshot(SnapshotPtr snapshot);
   const SnapshotPtr& Current() const { return snapshot_; }
 
-  /// @brief Waits for an endpoint, or is refused as soon as that is decided.
-  Awaitable<std::variant<Grant, AdmissionRefusal>> Acquire(DispatchAsk ask);
+  /// @brief Waits for a free endpoint. Returns a refusal as soon as the request can't be served.
+  Awaitable<std::variant<Grant, AdmissionRefusal>> Acquire(DispatchRequest dispatch);
 
-  /// @brief Gives an endpoint back.
-  /// @param first_byte Time to the first byte of the answer, for a served request.
+  /// @brief Returns an endpoint and records the result of the attempt.
+  /// @param first_byte Time to the first byte of the response, for a served request.
   void Release(const Grant& grant, RouteResult result, Duration first_byte);
 
-  /// @brief What runs and what waits.
+  /// @brief Returns the numbers of requests in flight and waiting.
   message::TrafficSampled Sample() const;
 
   std::size_t Waiting() const { return queue_.Size(); }
 
  private:
   struct Waiter {
-    DispatchAsk ask;
+    DispatchRequest dispatch;
     Timer timer;
     std::optional<std::variant<Grant, AdmissionRefusal>> result;
   };
 
-  const ServingSet* SetOf(const DispatchAsk& ask) const;
-  std::optional<Grant> TryStart(const DispatchAsk& ask);
-  void Pump();
-  Awaitable<void> PumpLoop();
+  const ServingSet* FindServingSet(const DispatchRequest& dispatch) const;
+  std::optional<Grant> TryStart(const DispatchRequest& dispatch);
+  void DispatchWaiting();
+  Awaitable<void> DispatchLoop();
 
   asio::io_context& context_;
   SnapshotPtr snapshot_;
@@ -79,7 +79,7 @@
   std::map<std::string, std::uint32_t> running_;    // by target
   std::map<std::string, std::uint32_t> in_flight_;  // by endpoint
   Ticket next_ticket_ = 0;
-  bool pumping_ = false;
+  bool loop_running_ = false;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/callers/front.hpp
+++ b/include/rudderloom/callers/front.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The entry node's face towards callers and the balancer.
+/// The HTTP server of an entry node for callers, health checks and metrics.
 #ifndef RUDDERLOOM_CALLERS_FRONT_HPP
 #define RUDDERLOOM_CALLERS_FRONT_HPP
 
@@ -13,13 +13,13 @@
 
 namespace rudderloom {
 
-/// @brief Where the front tells the control state what it learns.
+/// @brief Callbacks of the front.
 /// @ingroup callers
 struct FrontHooks {
-  std::function<void(message::Any)> post;
+  std::function<void(message::Any)> post;  ///< Sends a message to the control state.
 };
 
-/// @brief Serves callers on one io_context; use from its thread only, but for Use.
+/// @brief Serves callers on one io_context. Only Use may be called from other threads.
 /// @ingroup callers
 class Front {
  public:
@@ -31,19 +31,20 @@
         Metrics& metrics,
         FrontHooks hooks);
 
-  /// @brief Listens and serves. Gives the address taken.
+  /// @brief Starts listening and serving. Returns the bound address and port.
   std::string Start();
 
-  /// @brief Takes a new snapshot. May be called from any thread.
+  /// @brief Replaces the snapshot. May be called from any thread.
   void Use(SnapshotPtr snapshot);
 
-  /// @brief The balancer is told that this node goes; requests are still served.
+  /// @brief Makes the readiness check fail, so that the load balancer stops sending requests.
+  /// Requests are still served.
   void BeginStop();
 
-  /// @brief No new connections or requests; those in flight end.
+  /// @brief Accepts no new connections or requests; requests in flight are completed.
   void StopAccepting() { server_->Stop(); }
 
-  /// @brief Requests in flight, and changes of claims that wait to be recorded.
+  /// @brief Number of requests in flight plus claim updates that are not stored yet.
   std::size_t Unfinished() const { return server_->Active() + claims_.Pending(); }
 
  private:
@@ -51,7 +52,7 @@
   Awaitable<void> HandleCall(HttpExchange& exchange, std::string target);
   Awaitable<void> ListModels(HttpExchange& exchange, std::string request_id);
   Awaitable<void> SampleLoop();
-  std::optional<RefusalReason> NotServing() const;
+  std::optional<RefusalReason> UnavailableReason() const;
   Reply Readiness() const;
 
   asio::io_context& context_;
--- a/include/rudderloom/callers/refusal.hpp
+++ b/include/rudderloom/callers/refusal.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Refusals as callers see them: `application/problem+json` with a stable reason.
+/// Error responses for callers: `application/problem+json` with a stable reason.
 #ifndef RUDDERLOOM_CALLERS_REFUSAL_HPP
 #define RUDDERLOOM_CALLERS_REFUSAL_HPP
 
@@ -11,7 +11,7 @@
 
 namespace rudderloom {
 
-/// @brief Why a request gets no answer of its own. Names are stable; see docs/OPERATORS.md.
+/// @brief Why a request was refused or failed. Names are stable; see docs/OPERATORS.md.
 /// @ingroup callers
 enum class RefusalReason {
   kHeaderTooLarge,
@@ -41,38 +41,38 @@
   kQuarantined,
 };
 
-/// @brief The stable name, for example `queue_full`.
+/// @brief Returns the stable name, for example `queue_full`.
 /// @ingroup callers
 std::string_view NameOf(RefusalReason reason);
 
-/// @brief Whether the refused request may have had an effect.
+/// @brief Whether an endpoint may have executed the refused request.
 /// @ingroup callers
-enum class Ran { kNo, kUnknown };
+enum class ExecutionStatus { kNotExecuted, kUnknown };
 
-/// @brief One refusal.
+/// @brief Content of an error response.
 /// @ingroup callers
 struct Refusal {
   RefusalReason reason = RefusalReason::kNotReady;
-  Ran ran = Ran::kNo;
+  ExecutionStatus execution = ExecutionStatus::kNotExecuted;
   std::string detail;
-  Duration come_back{1'000};  ///< Shown as Retry-After, in whole seconds rounded up.
+  Duration retry_delay{1'000};  ///< Sent as Retry-After, in whole seconds rounded up.
 };
 
-/// @brief The HTTP status of a reason.
+/// @brief Returns the HTTP status for a reason.
 /// @ingroup callers
 unsigned StatusOf(RefusalReason reason);
 
-/// @brief The answer to send; it also carries the `error` object that OpenAI clients look for.
+/// @brief Builds the response. The body includes the `error` object that OpenAI clients expect.
 /// @ingroup callers
 Reply ToReply(const Refusal& refusal, const std::string& request_id);
 
-/// @brief The refusal as one JSON text, for an error event within a stream.
+/// @brief Serializes the refusal as JSON, for an error event within a stream.
 /// @ingroup callers
 std::string ToJsonText(const Refusal& refusal, const std::string& request_id);
 
-/// @brief The refusal for a request that could not be read.
+/// @brief Returns the refusal for a request that could not be read.
 /// @ingroup callers
-Refusal RefusalOf(ReadFailure failure);
+Refusal ToRefusal(ReadFailure failure);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/callers/request_info.hpp
+++ b/include/rudderloom/callers/request_info.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What a caller's headers say of a request.
+/// Parses the request headers that callers set.
 #ifndef RUDDERLOOM_CALLERS_REQUEST_INFO_HPP
 #define RUDDERLOOM_CALLERS_REQUEST_INFO_HPP
 
@@ -12,7 +12,7 @@
 
 namespace rudderloom {
 
-/// @brief Names of the headers that callers use.
+/// @brief Names of request and response headers.
 /// @ingroup callers
 namespace header {
 inline constexpr std::string_view kRequestId = "X-Request-Id";
@@ -20,13 +20,14 @@
 inline constexpr std::string_view kKind = "X-Request-Kind";
 inline constexpr std::string_view kCaller = "X-Caller";
 inline constexpr std::string_view kIdempotencyKey = "Idempotency-Key";
-inline constexpr std::string_view kRetry = "X-Retry";  ///< `1`: the caller retries by itself.
+inline constexpr std::string_view kRetry =
+    "X-Retry";  ///< `1`: this request is a retry by the caller.
 inline constexpr std::string_view kPriority = "X-Priority";
 inline constexpr std::string_view kEndpointState = "X-Endpoint-State";
 inline constexpr std::string_view kLastEventId = "Last-Event-ID";
 }  // namespace header
 
-/// @brief One request, as far as its headers go.
+/// @brief Request metadata from the headers.
 /// @ingroup callers
 struct RequestInfo {
   std::string request_id;
@@ -35,14 +36,14 @@
   std::int64_t priority = 5;
   bool retried_before = false;
   TimePoint arrived;
-  TimePoint deadline;  ///< For the first token of a stream, or a whole answer.
+  TimePoint deadline;  ///< For the first token of a stream or the complete response.
 };
 
-/// @brief A random request id, or the caller's own when that is usable.
+/// @brief Returns the caller's request id if it is valid, otherwise a random one.
 /// @ingroup callers
-std::string RequestIdOf(const HttpRequest& request);
+std::string GetRequestId(const HttpRequest& request);
 
-/// @brief Reads the headers; a header that makes no sense is refused.
+/// @brief Parses the headers. Returns a refusal if one of them is invalid.
 /// @ingroup callers
 std::variant<RequestInfo, Refusal> ReadRequestInfo(const HttpRequest& request,
                                                    std::string request_id,
--- a/include/rudderloom/control/contact.hpp
+++ b/include/rudderloom/control/contact.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// When this process last heard from the platform or a peer; read by every thread without locks.
+/// Time of the last contact with the platform or a peer. Lock-free, for use by any thread.
 #ifndef RUDDERLOOM_CONTROL_CONTACT_HPP
 #define RUDDERLOOM_CONTROL_CONTACT_HPP
 
@@ -9,30 +9,31 @@
 
 namespace rudderloom {
 
-/// @brief Tells whether the configuration in force may have been overtaken unnoticed.
-/// A process that was frozen sees at its first look that its contact is old.
+/// @brief Detects that this node is isolated and may have missed a newer configuration.
+/// The age of the last contact is computed on each call, so a process that was suspended detects
+/// this on its first call after it resumes.
 /// @ingroup control
 class Contact {
  public:
-  /// @brief The platform or a peer answered just now.
-  void Heard(TimePoint now) { heard_.store(now.time_since_epoch().count()); }
+  /// @brief Records that the platform or a peer has responded.
+  void Heard(TimePoint now) { last_contact_.store(now.time_since_epoch().count()); }
 
-  /// @brief Other entry nodes are known, so that one of them may know more.
+  /// @brief Sets whether other entry nodes are known, which may have a newer configuration.
   void SetPeersKnown(bool known) { peers_known_.store(known); }
 
-  /// @brief True when nothing was heard for longer than `limit` although others are there.
+  /// @brief Returns true if other nodes are known and the last contact is older than `limit`.
   bool Lost(TimePoint now, Duration limit) const {
-    return peers_known_.load() && Silence(now) > limit;
+    return peers_known_.load() && TimeSinceContact(now) > limit;
   }
 
-  /// @brief Time since something was heard.
-  Duration Silence(TimePoint now) const {
-    const TimePoint heard{TimePoint::duration(heard_.load())};
-    return Between(heard, now);
+  /// @brief Returns the time since the last contact.
+  Duration TimeSinceContact(TimePoint now) const {
+    const TimePoint last_contact{TimePoint::duration(last_contact_.load())};
+    return Between(last_contact, now);
   }
 
  private:
-  std::atomic<TimePoint::rep> heard_{0};
+  std::atomic<TimePoint::rep> last_contact_{0};
   std::atomic<bool> peers_known_{false};
 };
 
--- a/include/rudderloom/control/control_actor.hpp
+++ b/include/rudderloom/control/control_actor.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The one thread that owns the control state: a detached CAF actor behind a plain interface.
+/// Runs the control state on its own thread, as a detached CAF actor.
 #ifndef RUDDERLOOM_CONTROL_CONTROL_ACTOR_HPP
 #define RUDDERLOOM_CONTROL_CONTROL_ACTOR_HPP
 
@@ -12,16 +12,16 @@
 
 namespace rudderloom {
 
-/// @brief Where the actor's decisions go. All are called on the actor's thread.
+/// @brief Callbacks for the actor's output, called on the actor's thread.
 /// @ingroup control
 struct ControlSinks {
   std::function<void(PoolEffects)> effects;
   std::function<void(SnapshotPtr)> snapshot;
   std::function<void(std::shared_ptr<const NodeReport>)> report;
-  std::function<void(double)> cpu_seconds;  ///< Of the control thread so far.
+  std::function<void(double)> cpu_seconds;  ///< CPU time used by the control thread.
 };
 
-/// @brief Hands messages to the control state, one at a time. Post may be called from any thread.
+/// @brief Passes messages to the control state, one at a time. Post may be called from any thread.
 /// @ingroup control
 class ControlActor {
  public:
@@ -31,7 +31,7 @@
                ControlSinks sinks);
   ControlActor(const ControlActor&) = delete;
   ControlActor& operator=(const ControlActor&) = delete;
-  /// @brief Ends the actor and waits for its thread.
+  /// @brief Stops the actor and waits for its thread.
   ~ControlActor();
 
   void Post(message::Any message);
--- a/include/rudderloom/control/control_shell.hpp
+++ b/include/rudderloom/control/control_shell.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The I/O of the control state: watches of the platform, load polls, orders and timers.
+/// I/O for the control state: watches on the platform, load polls, orders and timers.
 #ifndef RUDDERLOOM_CONTROL_CONTROL_SHELL_HPP
 #define RUDDERLOOM_CONTROL_CONTROL_SHELL_HPP
 
@@ -17,7 +17,7 @@
 
 namespace rudderloom {
 
-/// @brief Runs on one io_context's thread and posts what it learns to the control state.
+/// @brief Runs on the thread of one io_context and posts messages to the control state.
 /// @ingroup control
 class ControlShell {
  public:
@@ -33,13 +33,13 @@
   /// @brief Starts the watches, polls and timers.
   void Start();
 
-  /// @brief Carries out effects. May be called from any thread.
+  /// @brief Executes effects of the control state. May be called from any thread.
   void Execute(PoolEffects effects);
 
-  /// @brief Takes the newest report. May be called from any thread.
+  /// @brief Stores the latest report. May be called from any thread.
   void Reported(std::shared_ptr<const NodeReport> report);
 
-  /// @brief Takes this node's name off the platform's list; gives up after a moment.
+  /// @brief Deletes this node's object from the platform. Gives up after one second.
   Awaitable<void> Unregister();
 
  private:
@@ -52,12 +52,12 @@
   Awaitable<void> PollLoop();
   Awaitable<void> ConfirmLoop();
   Awaitable<void> Poll(std::string name, std::string address, bool service);
-  Awaitable<void> Write(WritePool write);
-  Awaitable<void> Read(ReadPool read);
+  Awaitable<void> WritePoolRecord(WritePool write);
+  Awaitable<void> ReadPoolRecord(ReadPool read);
   Awaitable<void> SendOrder(Order order);
   void LogMove(const MoveDecided& move);
-  void OfferConfiguration(const StoredObject& object);
-  void WatchAll();
+  void PostConfiguration(const StoredObject& object);
+  void StartWatches();
 
   asio::io_context& context_;
   Settings settings_;
@@ -73,7 +73,7 @@
   std::map<std::string, TimePoint> polled_at_;
   std::map<std::string, std::vector<std::string>> pool_writers_;
   std::map<std::string, NodeState> listed_nodes_;
-  std::uint64_t token_ = 0;
+  std::uint64_t write_count_ = 0;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/control/control_state.hpp
+++ b/include/rudderloom/control/control_state.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The whole control state of one entry node, as a pure function of the messages it got.
+/// The control state of one entry node, determined only by the messages that it has processed.
 #ifndef RUDDERLOOM_CONTROL_CONTROL_STATE_HPP
 #define RUDDERLOOM_CONTROL_CONTROL_STATE_HPP
 
@@ -17,39 +17,40 @@
 
 namespace rudderloom {
 
-/// @brief What this node tells about itself and others, for heartbeats and operators.
+/// @brief State of this node and the nodes known to it, for heartbeats and operators.
 /// @ingroup control
 struct NodeReport {
   NodeState self;
   std::vector<Member> members;
-  std::vector<Member> targets;      ///< Whom to send the next heartbeat to.
-  std::vector<NodeDigest> digests;  ///< To pass on with it.
+  std::vector<Member> targets;      ///< Recipients of the next heartbeat.
+  std::vector<NodeDigest> digests;  ///< Sent with the next heartbeat.
   std::map<std::string, PoolRecord> pools;
   std::vector<std::string> held_pools;
   std::vector<EndpointState> endpoints;
   ConfigurationPtr configuration;
-  bool peers_known = false;  ///< Some other node is known at all.
-  bool released = false;     ///< After a stop was asked: no lease is held any more.
+  bool peers_known = false;  ///< Whether any other node is known.
+  bool released = false;     ///< After a stop request: no lease is held any more.
 };
 
-/// @brief What the control state asks its shell to do.
+/// @brief Actions that the control state requests from its caller.
 /// @ingroup control
 struct ControlEffects {
   PoolEffects pool;
-  SnapshotPtr snapshot;  ///< Null when nothing changed for traffic.
+  SnapshotPtr snapshot;  ///< Null if it has not changed.
 };
 
-/// @brief Owns all control state. Pure: no I/O, and time is passed in.
+/// @brief Owns the control state. Does no I/O and reads no clock; the time is passed in.
 /// @ingroup control
 class ControlState {
  public:
   ControlState(Settings settings, std::string incarnation, std::string peers_address);
 
-  /// @brief Takes one message; only Tick and StopAsked give effects besides a new snapshot.
-  /// @param unix_seconds Wall clock, for the declared starts of serving events.
+  /// @brief Processes one message. Only Tick and StopAsked have effects other than a new snapshot.
+  /// @param unix_seconds Wall-clock time, compared with the start times of serving events.
   ControlEffects Handle(const message::Any& any, TimePoint now, std::int64_t unix_seconds);
 
-  /// @brief A report as of now; moves on to the next heartbeat targets when asked to.
+  /// @brief Builds a report.
+  /// @param next_round Whether to select new recipients for the next heartbeat.
   std::shared_ptr<const NodeReport> Report(TimePoint now, bool next_round);
 
  private:
@@ -62,29 +63,29 @@
   void On(const message::PoolCallEnded& ended, TimePoint now);
   void On(const message::OrderEnded& ended, TimePoint now);
   void On(const message::EndpointPolled& polled, TimePoint now);
-  void On(const message::PeerHeard& heard, TimePoint now);
-  void On(const message::LeavingSaid& said, TimePoint now);
+  void On(const message::HeartbeatReceived& heard, TimePoint now);
+  void On(const message::EndpointAnnouncedLeaving& said, TimePoint now);
   void On(const message::TrafficSampled& sampled, TimePoint now);
   void On(const message::Tick& tick, TimePoint now);
   void On(const message::StopAsked& asked, TimePoint now);
 
-  PoolKeeper& KeeperOf(const std::string& pool);
-  PoolView ViewOf(const std::string& pool, TimePoint now, std::int64_t unix_seconds);
-  std::vector<WantedUnit> WantedIn(const std::string& pool, std::int64_t unix_seconds) const;
+  PoolKeeper& FindOrCreateKeeper(const std::string& pool);
+  PoolView BuildPoolView(const std::string& pool, TimePoint now, std::int64_t unix_seconds);
+  std::vector<WantedUnit> ListWantedUnits(const std::string& pool, std::int64_t unix_seconds) const;
   std::uint32_t OthersInFlight(const std::string& endpoint, TimePoint now) const;
-  bool Routable(const EndpointState& state) const;
-  std::optional<UnitState> StateOnRecord(const EndpointState& endpoint,
+  bool IsRoutable(const EndpointState& state) const;
+  std::optional<UnitState> RecordedState(const EndpointState& endpoint,
                                          const std::string& unit) const;
-  bool Withdrawn(const EndpointState& endpoint, const std::string& unit) const;
+  bool IsBeingUnloaded(const EndpointState& endpoint, const std::string& unit) const;
   SnapshotPtr MakeSnapshot(TimePoint now);
-  void AddServing(Snapshot& snapshot,
-                  std::map<std::string, ServingSet>& sets,
-                  const std::string& name,
-                  const std::string& unit,
-                  const std::vector<std::uint32_t>& endpoints) const;
-  void AddUnit(Snapshot& snapshot, const std::string& name, const std::string& unit) const;
+  void AddServingSet(Snapshot& snapshot,
+                     std::map<std::string, ServingSet>& sets,
+                     const std::string& name,
+                     const std::string& unit,
+                     const std::vector<std::uint32_t>& endpoints) const;
+  void AddServingUnit(Snapshot& snapshot, const std::string& name, const std::string& unit) const;
   void SmoothDemand(TimePoint now);
-  void TakeCrashNews(const CrashNews& news, TimePoint now);
+  void MergeCrashNews(const CrashNews& news, TimePoint now);
 
   Settings settings_;
   std::string incarnation_;
@@ -93,16 +94,16 @@
   EndpointTable endpoints_;
   MemberTable members_;
   std::map<std::string, PoolKeeper> keepers_;
-  std::map<std::string, std::uint32_t> in_flight_;  // here, by endpoint
-  std::map<std::string, std::uint32_t> demand_;     // here, by name
-  std::map<std::string, double> smooth_demand_;     // over all nodes
-  std::map<std::string, ServingSet> last_models_;   // to keep affinity tables that still hold
+  std::map<std::string, std::uint32_t> in_flight_;  // on this node, by endpoint
+  std::map<std::string, std::uint32_t> demand_;     // on this node, by model or service
+  std::map<std::string, double> smooth_demand_;     // of all nodes
+  std::map<std::string, ServingSet> last_models_;   // to reuse unchanged affinity tables
   TimePoint smoothed_at_;
   CrashBook crash_book_;
-  NewsLog news_log_;                 // told with each heartbeat, also what was heard
-  std::vector<Member> targets_;      // of the present heartbeat round
-  std::vector<NodeDigest> digests_;  // to pass on with it
-  std::uint64_t beat_ = 0;
+  NewsLog news_log_;                 // sent with each heartbeat, including news from peers
+  std::vector<Member> targets_;      // of the current heartbeat round
+  std::vector<NodeDigest> digests_;  // sent in the current round
+  std::uint64_t heartbeat_count_ = 0;
   bool endpoints_listed_ = false;
   bool nodes_listed_ = false;
   bool stopping_ = false;
--- a/include/rudderloom/control/messages.hpp
+++ b/include/rudderloom/control/messages.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Everything that the control state is told, as typed messages.
+/// Typed messages to the control state.
 #ifndef RUDDERLOOM_CONTROL_MESSAGES_HPP
 #define RUDDERLOOM_CONTROL_MESSAGES_HPP
 
@@ -16,37 +16,37 @@
 
 namespace rudderloom::message {
 
-/// @brief A configuration from the platform, a peer or an operator's change.
+/// @brief A configuration was received from the platform, a peer or an operator.
 /// @ingroup control
 struct ConfigurationSeen {
   ConfigurationPtr configuration;
 };
 
-/// @brief The platform's whole list of endpoints.
+/// @brief The complete list of endpoints on the platform.
 /// @ingroup control
 struct EndpointsListed {
   std::vector<EndpointSpec> specs;
 };
 
-/// @brief One endpoint of a watch event.
+/// @brief An endpoint was added or changed.
 /// @ingroup control
 struct EndpointPut {
   EndpointSpec spec;
 };
 
-/// @brief One endpoint left the platform's list.
+/// @brief An endpoint was deleted from the platform.
 /// @ingroup control
 struct EndpointRemoved {
   std::string name;
 };
 
-/// @brief The platform's whole list of entry nodes.
+/// @brief The complete list of entry nodes on the platform.
 /// @ingroup control
 struct NodesListed {
   std::vector<NodeState> nodes;
 };
 
-/// @brief A pool's object as read or watched; an empty version means that there is none.
+/// @brief A pool's object was read or watched. An empty version means that it does not exist.
 /// @ingroup control
 struct PoolSeen {
   std::string pool;
@@ -55,60 +55,60 @@
   PoolSight sight = PoolSight::kWatched;
 };
 
-/// @brief Outcome of a read or write of a pool's object.
+/// @brief Result of a failed read or of a write of a pool's object.
 /// @ingroup control
 struct PoolCallEnded {
   enum class Result { kWritten, kWriteFailed, kReadFailed };
   std::string pool;
   Result result = Result::kReadFailed;
-  StoreRevision version;  ///< After a write that took effect.
+  StoreRevision version;  ///< Set after a successful write.
 };
 
-/// @brief Outcome of sending an order once.
+/// @brief Result of one attempt to send an order.
 /// @ingroup control
 struct OrderEnded {
   Order order;
   OrderOutcome outcome = OrderOutcome::kUnknown;
 };
 
-/// @brief Outcome of asking an endpoint for its load.
+/// @brief Result of polling the load of an endpoint.
 /// @ingroup control
 struct EndpointPolled {
   std::string name;
-  std::string address;               ///< That was asked.
-  std::optional<LoadReport> report;  ///< Empty: no answer.
+  std::string address;               ///< Address that was polled.
+  std::optional<LoadReport> report;  ///< Empty without a valid response.
 };
 
-/// @brief A heartbeat or the answer to one.
+/// @brief A heartbeat or heartbeat response from a peer.
 /// @ingroup control
-struct PeerHeard {
+struct HeartbeatReceived {
   NodeState state;
   std::vector<NodeDigest> digests;
 };
 
-/// @brief An endpoint said in an answer that it is leaving.
+/// @brief An endpoint announced in a response that it is shutting down.
 /// @ingroup control
-struct LeavingSaid {
+struct EndpointAnnouncedLeaving {
   std::string endpoint_and_incarnation;
 };
 
-/// @brief What traffic runs and what waits, sampled.
+/// @brief A sample of the requests in flight and waiting.
 /// @ingroup control
 struct TrafficSampled {
   std::map<std::string, std::uint32_t> in_flight;  ///< By endpoint.
   std::map<std::string, std::uint32_t> demand;     ///< Running or waiting, by name.
-  CrashNews crash_news;                            ///< Seen since the last sample.
+  CrashNews crash_news;                            ///< Crashes observed since the last sample.
 };
 
-/// @brief Time passed.
+/// @brief Periodic timer event.
 /// @ingroup control
 struct Tick {};
 
-/// @brief A planned stop begins.
+/// @brief A graceful shutdown begins.
 /// @ingroup control
 struct StopAsked {};
 
-/// @brief Any of them.
+/// @brief Any message to the control state.
 /// @ingroup control
 using Any = std::variant<ConfigurationSeen,
                          EndpointsListed,
@@ -119,8 +119,8 @@
                          PoolCallEnded,
                          OrderEnded,
                          EndpointPolled,
-                         PeerHeard,
-                         LeavingSaid,
+                         HeartbeatReceived,
+                         EndpointAnnouncedLeaving,
                          TrafficSampled,
                          Tick,
                          StopAsked>;
--- a/include/rudderloom/control/order_sender.hpp
+++ b/include/rudderloom/control/order_sender.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Sends orders to endpoints over HTTP/JSON and tells what is known of their effect.
+/// Sends load and unload orders to endpoints over HTTP/JSON.
 #ifndef RUDDERLOOM_CONTROL_ORDER_SENDER_HPP
 #define RUDDERLOOM_CONTROL_ORDER_SENDER_HPP
 
@@ -9,21 +9,21 @@
 
 namespace rudderloom {
 
-/// @brief Sends one order once; whether it is sent again is the pool keeper's decision.
+/// @brief Sends each order once. The pool keeper decides on retries.
 /// @ingroup control
 class OrderSender {
  public:
-  OrderSender(HttpClient& client, Duration order_time, Metrics& metrics)
-      : client_(client), order_time_(order_time), metrics_(metrics) {}
+  OrderSender(HttpClient& client, Duration order_timeout, Metrics& metrics)
+      : client_(client), order_timeout_(order_timeout), metrics_(metrics) {}
 
-  /// @brief Sends the order unless its time has passed, and waits for the endpoint's answer.
+  /// @brief Sends the order unless it is past `valid_until`, and waits for the response.
   Awaitable<OrderOutcome> Send(Order order);
 
  private:
   Awaitable<OrderOutcome> Exchange(const Order& order);
 
   HttpClient& client_;
-  Duration order_time_;
+  Duration order_timeout_;
   Metrics& metrics_;
 };
 
--- a/include/rudderloom/control/snapshot.hpp
+++ b/include/rudderloom/control/snapshot.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What traffic sees of the control state: immutable, replaced as a whole.
+/// An immutable view of the control state for the traffic threads, replaced as a whole.
 #ifndef RUDDERLOOM_CONTROL_SNAPSHOT_HPP
 #define RUDDERLOOM_CONTROL_SNAPSHOT_HPP
 
@@ -15,31 +15,31 @@
 
 namespace rudderloom {
 
-/// @brief One endpoint as traffic needs it.
+/// @brief Endpoint data for routing.
 /// @ingroup control
 struct EndpointView {
-  std::uint32_t id = 0;  ///< Stable while the endpoint is known to this process.
+  std::uint32_t id = 0;  ///< Unchanged while the endpoint is known to this process.
   std::string name;
   std::string address;
   std::string incarnation;
   std::string availability_zone;
   std::uint32_t slots = 1;
-  std::uint32_t others_in_flight = 0;  ///< Requests of the other entry nodes, as last heard.
+  std::uint32_t others_in_flight = 0;  ///< Requests of other entry nodes, as last reported.
 };
 
-/// @brief One consistent view; traffic keeps it for as long as it needs it.
+/// @brief A consistent view. Readers share ownership, so it remains valid while they use it.
 /// @ingroup control
 struct Snapshot {
   ConfigurationPtr configuration = std::make_shared<const Configuration>();
   std::vector<EndpointView> endpoints;
   std::map<std::string, ServingSet> models;    ///< By name of a model or adapter.
   std::map<std::string, ServingSet> services;  ///< By name of a plain service.
-  std::uint32_t live_nodes = 1;                ///< With this one.
-  QuarantineListPtr quarantine;  ///< Requests that end the endpoints that run them; null: none.
+  std::uint32_t live_nodes = 1;                ///< Including this node.
+  QuarantineListPtr quarantine;  ///< Requests that crash endpoints; null if there are none.
   bool ready = false;            ///< A configuration is in force and the endpoints are known.
 };
 
-/// @brief A snapshot that nobody changes any more.
+/// @brief Shared pointer to an immutable snapshot.
 /// @ingroup control
 using SnapshotPtr = std::shared_ptr<const Snapshot>;
 
--- a/include/rudderloom/peers/holder_link.hpp
+++ b/include/rudderloom/peers/holder_link.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Cap'n Proto link between entry nodes: counts go to the holder of the placement lease or to a
-/// relay, and its word comes back.
+/// Cap'n Proto link between entry nodes: sends counts to the holder of the placement lease or to a
+/// relay, and receives its digest.
 #ifndef RUDDERLOOM_PEERS_HOLDER_LINK_HPP
 #define RUDDERLOOM_PEERS_HOLDER_LINK_HPP
 
@@ -16,61 +16,62 @@
 
 namespace rudderloom {
 
-/// @brief What the link hands on. All are called on the link's thread.
+/// @brief Callbacks of the link, called on the link's thread.
 /// @ingroup peers
 struct HolderLinkHooks {
-  /// @brief Another node reported its counts to this one.
+  /// @brief Called when another node has reported its counts.
   std::function<void(NodeCounts)> on_counts;
-  /// @brief The digest for a node that reported; must not block.
+  /// @brief Returns the digest for the reporting node. Must not block.
   std::function<HolderDigest(const NodeCounts& asking)> digest_for;
-  /// @brief The node at `from` answered this node's report of a number.
+  /// @brief Called when the node at `from` has responded to the report with this number.
   std::function<void(HolderDigest, const std::string& from, std::uint64_t number)> on_digest;
-  /// @brief Another node asks this one whether a request may run; must not block.
+  /// @brief Decides for another node whether a request is within the quota. Must not block.
   std::function<SpendAnswer(const SpendAsk&)> on_spend;
-  /// @brief Another node asks this one whether it may send a request to an endpoint; must not
-  /// block.
+  /// @brief Decides for another node whether it may send a request to an endpoint. Must not block.
   std::function<PermitAnswer(const PermitAsk&)> on_permit;
-  /// @brief A report to the node at `to` got no answer.
+  /// @brief Called when the report to the node at `to` failed.
   std::function<void(const std::string& to, std::uint64_t number)> on_failure;
 };
 
-/// @brief Takes the holder's answer, or nothing when none came; called on the link's thread.
+/// @brief Receives the holder's answer; empty if the call failed. Called on the link's thread.
 /// @ingroup peers
 using SpendCallback = std::function<void(std::optional<SpendAnswer>)>;
 
-/// @brief The same for permits.
+/// @brief Receives the answer to a permit call; empty if the call failed. Called on the link's
+/// thread.
 /// @ingroup peers
 using PermitCallback = std::function<void(std::optional<PermitAnswer>)>;
 
-/// @brief Runs Cap'n Proto's event loop on a thread of its own.
+/// @brief Runs a Cap'n Proto event loop on its own thread.
 /// @ingroup peers
 class HolderLink {
  public:
-  /// @param address IP number and port to listen on.
-  /// @param answer_limit A report without an answer for so long has failed.
+  /// @param address IP address and port to listen on.
+  /// @param answer_limit Timeout of a report.
   HolderLink(const std::string& address, Duration answer_limit);
   HolderLink(const HolderLink&) = delete;
   HolderLink& operator=(const HolderLink&) = delete;
   ~HolderLink();
 
-  /// @brief The address taken, as IP number and port; port 0 takes one from the kernel.
+  /// @brief Returns the bound IP address and port. With port 0 the kernel chooses a free port.
   const std::string& Address() const { return address_; }
 
-  /// @brief Begins to answer and to report. Nothing is answered before.
+  /// @brief Starts to serve calls and to send reports. Calls are not served before.
   void Start(HolderLinkHooks hooks);
 
-  /// @brief Tells counts to the node at this address. While an earlier report is under way, the
-  /// newest counts wait for its end. May be called from any thread.
+  /// @brief Reports counts to the node at this address. While another report is in flight, only the
+  /// latest counts are queued. May be called from any thread.
   void Report(const std::string& to, NodeCounts counts);
 
-  /// @brief Asks the node at this address whether a request may run. `done` is called once, unless
-  /// the link is stopped before. May be called from any thread.
+  /// @brief Asks the node at this address whether a request is within the quota. `done` is called
+  /// once, unless the link is stopped before. May be called from any thread.
   void Ask(const std::string& holder, const SpendAsk& ask, SpendCallback done);
 
-  /// @brief The same for a permit, of the holder or its deputy.
+  /// @brief Asks the holder or its deputy for a permit. See the overload above.
   void Ask(const std::string& granter, const PermitAsk& ask, PermitCallback done);
 
-  /// @brief Ends the event loop; no hook is called after this, and no callback is kept.
+  /// @brief Stops the event loop. No hook is called afterwards, and pending callbacks are
+  /// destroyed.
   void Stop();
 
  private:
--- a/include/rudderloom/peers/node_server.hpp
+++ b/include/rudderloom/peers/node_server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The Cap'n Proto side of an entry node: heartbeats with peers, and operators' calls.
+/// The Cap'n Proto server of an entry node, for heartbeats of peers and operator calls.
 #ifndef RUDDERLOOM_PEERS_NODE_SERVER_HPP
 #define RUDDERLOOM_PEERS_NODE_SERVER_HPP
 
@@ -16,20 +16,20 @@
 
 namespace rudderloom {
 
-/// @brief What the server hands on.
+/// @brief Callbacks of the server.
 /// @ingroup peers
 struct NodeServerHooks {
-  std::function<void(message::Any)> post;
-  /// @brief Makes a change and calls back, from any thread.
+  std::function<void(message::Any)> post;  ///< Sends a message to the control state.
+  /// @brief Applies a change. The callback may be called from any thread.
   std::function<void(ChangeRequest, std::function<void(ChangeResult)>)> change;
 };
 
-/// @brief Runs Cap'n Proto's event loop on a thread of its own.
+/// @brief Runs a Cap'n Proto event loop on its own thread.
 /// @ingroup peers
 class NodeServer {
  public:
-  /// @brief Listens, with port 0 on one from the kernel.
-  /// @throws kj::Exception when the address can't be had.
+  /// @brief Starts listening. With port 0 the kernel chooses a free port.
+  /// @throws kj::Exception if the address can't be bound.
   NodeServer(const ListenerSettings& listener,
              MembershipSettings membership,
              Contact& contact,
@@ -38,16 +38,16 @@
   NodeServer& operator=(const NodeServer&) = delete;
   ~NodeServer();
 
-  /// @brief The address taken, as IP number and port.
+  /// @brief Returns the bound IP address and port.
   const std::string& Address() const { return address_; }
 
-  /// @brief Begins to answer and to send heartbeats.
+  /// @brief Starts to serve calls and to send heartbeats.
   void Start(NodeServerHooks hooks);
 
-  /// @brief Ends the event loop; no hook is called after this.
+  /// @brief Stops the event loop. No hook is called afterwards.
   void Stop();
 
-  /// @brief Takes the newest report. May be called from any thread.
+  /// @brief Stores the latest report. May be called from any thread.
   void Reported(std::shared_ptr<const NodeReport> report);
 
  private:
--- a/src/rudderloom/callers/call_context.cpp
+++ b/src/rudderloom/callers/call_context.cpp
@@ -5,26 +5,26 @@
 namespace rudderloom {
 
 namespace {
-constexpr std::size_t kLargestAnswer = 16 * 1024 * 1024;
+constexpr std::size_t kMaxResponseBytes = 16 * 1024 * 1024;
 }
 
-Awaitable<void> Refuse(CallContext& shared,
-                       HttpExchange& exchange,
-                       Refusal refusal,
-                       std::string request_id) {
+Awaitable<void> SendRefusal(CallContext& shared,
+                            HttpExchange& exchange,
+                            Refusal refusal,
+                            std::string request_id) {
   shared.metrics.Count({"rudderloom_refusals_total", "reason", NameOf(refusal.reason)});
   LogLine("refused")
       .With("request_id", request_id)
       .With("reason", NameOf(refusal.reason))
-      .With("ran", refusal.ran == Ran::kNo ? "no" : "unknown")
-      .With("retry_after_ms", refusal.come_back.count());
+      .With("ran", refusal.execution == ExecutionStatus::kNotExecuted ? "no" : "unknown")
+      .With("retry_after_ms", refusal.retry_delay.count());
   Reply reply = ToReply(refusal, request_id);
   co_await exchange.Send(std::move(reply));
 }
 
-Refusal RefusalOf(const AdmissionRefusal& refused, bool known) {
+Refusal ToRefusal(const AdmissionRefusal& refused, bool has_endpoints) {
   Refusal refusal;
-  refusal.come_back = refused.come_back;
+  refusal.retry_delay = refused.come_back;
   switch (refused.reason) {
     case AdmissionRefusal::Reason::kQueueFull:
       refusal.reason = RefusalReason::kQueueFull;
@@ -33,15 +33,16 @@
       refusal.reason = RefusalReason::kDeadlineUnreachable;
       break;
     case AdmissionRefusal::Reason::kDeadlinePassed:
-      refusal.reason = known ? RefusalReason::kDeadlinePassed : RefusalReason::kNotResident;
+      refusal.reason = has_endpoints ? RefusalReason::kDeadlinePassed : RefusalReason::kNotResident;
       break;
   }
   return refusal;
 }
 
-Refusal RefusalOf(const GiveUp& given_up, AttemptFailure failure) {
+Refusal ToRefusal(const GiveUp& given_up, AttemptFailure failure) {
   Refusal refusal;
-  refusal.ran = given_up.may_have_run ? Ran::kUnknown : Ran::kNo;
+  refusal.execution =
+      given_up.may_have_run ? ExecutionStatus::kUnknown : ExecutionStatus::kNotExecuted;
   refusal.detail = "last failure: " + std::string(NameOf(failure));
   switch (given_up.reason) {
     case GiveUp::Reason::kNotRepeatable:
@@ -60,17 +61,17 @@
   return refusal;
 }
 
-AttemptFailure FailureOf(const HttpFailure& failure, AttemptFailure cut) {
+AttemptFailure ClassifyFailure(const HttpFailure& failure, AttemptFailure on_disconnect) {
   if (!failure.may_have_left) {
     return AttemptFailure::kConnect;
   }
-  return failure.timed_out ? AttemptFailure::kTimeout : cut;
+  return failure.timed_out ? AttemptFailure::kTimeout : on_disconnect;
 }
 
-Awaitable<std::variant<std::string, HttpFailure>> ReadWhole(HttpStream& answer) {
+Awaitable<std::variant<std::string, HttpFailure>> ReadFullBody(HttpStream& response) {
   std::string text;
   while (true) {
-    auto piece = co_await answer.ReadSome();
+    auto piece = co_await response.ReadSome();
     if (auto* failure = std::get_if<HttpFailure>(&piece)) {
       co_return std::move(*failure);
     }
@@ -78,20 +79,22 @@
       co_return text;
     }
     text += std::get<std::string>(piece);
-    if (text.size() > kLargestAnswer) {
+    if (text.size() > kMaxResponseBytes) {
       HttpFailure failure;
       failure.may_have_left = true;
-      failure.message = "the answer is too large";
+      failure.message = "the response body is too large";
       co_return failure;
     }
   }
 }
 
-bool HeedLeaving(CallContext& shared, const EndpointView& endpoint, const HttpStream& answer) {
-  if (answer.Header(header::kEndpointState) != "leaving") {
+bool ReportIfLeaving(CallContext& shared,
+                     const EndpointView& endpoint,
+                     const HttpStream& response) {
+  if (response.Header(header::kEndpointState) != "leaving") {
     return false;
   }
-  shared.leaving(endpoint.name + "#" + endpoint.incarnation);
+  shared.on_endpoint_leaving(endpoint.name + "#" + endpoint.incarnation);
   return true;
 }
 
--- a/src/rudderloom/callers/completion_call.cpp
+++ b/src/rudderloom/callers/completion_call.cpp
@@ -14,14 +14,14 @@
 
 constexpr std::string_view kEventStream = "text/event-stream";
 
-// How one attempt on an endpoint ended.
+// Result of one attempt on an endpoint.
 struct AttemptEnd {
-  std::optional<AttemptFailure> failure;  // empty: the caller has its whole answer
-  bool caller_gone = false;               // nobody is left to answer
+  std::optional<AttemptFailure> failure;  // empty if the full response was forwarded
+  bool caller_disconnected = false;       // the connection to the caller is closed
   Duration first_byte{0};
 };
 
-std::string PromptOf(const json::object& body) {
+std::string ExtractPrompt(const json::object& body) {
   for (const char* key : {"messages", "prompt"}) {
     if (const json::value* found = body.if_contains(key)) {
       return json::serialize(*found);
@@ -30,7 +30,7 @@
   return "";
 }
 
-// One completion, over as many attempts as it takes.
+// Serves one completion request, with retries.
 class CompletionCall {
  public:
   CompletionCall(CallContext& shared, HttpExchange& exchange, RequestInfo info)
@@ -41,40 +41,41 @@
 
   Awaitable<void> Run() {
     if (auto refusal = ReadBody()) {
-      co_await Refuse(shared_, exchange_, std::move(*refusal), info_.request_id);
+      co_await SendRefusal(shared_, exchange_, std::move(*refusal), info_.request_id);
       co_return;
     }
     shared_.retries.FirstAttempt();
     AttemptState state;
     state.deadline = info_.deadline;
     state.retried_before = info_.retried_before;
-    DispatchAsk ask;
-    ask.target = model_;
-    ask.caller = info_.caller;
-    ask.priority = info_.priority;
-    ask.deadline = info_.deadline;
-    ask.route.prefix = PrefixHash(model_, prompt_);
+    DispatchRequest dispatch;
+    dispatch.target = model_;
+    dispatch.caller = info_.caller;
+    dispatch.priority = info_.priority;
+    dispatch.deadline = info_.deadline;
+    dispatch.route.prefix = PrefixHash(model_, prompt_);
     while (true) {
       if (auto refusal = crash_guard_.Check()) {
         co_await Fail(std::move(*refusal));
         co_return;
       }
-      DispatchAsk present = ask;
-      if (started_) {
-        // The deadline is for the first token; a broken stream has this long to go on.
-        present.deadline = Now() + shared_.settings.deadlines.resume;
-        state.deadline = present.deadline;
+      DispatchRequest attempt_dispatch = dispatch;
+      if (stream_started_) {
+        // The deadline applies to the first token. A broken stream must resume within this time.
+        attempt_dispatch.deadline = Now() + shared_.settings.deadlines.resume;
+        state.deadline = attempt_dispatch.deadline;
       }
-      auto acquired = co_await shared_.dispatcher.Acquire(std::move(present));
+      auto acquired = co_await shared_.dispatcher.Acquire(std::move(attempt_dispatch));
       if (auto* refused = std::get_if<AdmissionRefusal>(&acquired)) {
-        Refusal refusal = RefusalOf(*refused, Served());
-        refusal.ran = state.may_have_run ? Ran::kUnknown : Ran::kNo;
+        Refusal refusal = ToRefusal(*refused, HasEndpoints());
+        refusal.execution =
+            state.may_have_run ? ExecutionStatus::kUnknown : ExecutionStatus::kNotExecuted;
         co_await Fail(std::move(refusal));
         co_return;
       }
       const Grant grant = std::move(std::get<Grant>(acquired));
-      if (started_ && grant.unit != unit_) {
-        // Another version would go on with other tokens: the caller must see that it broke.
+      if (stream_started_ && grant.unit != unit_) {
+        // Another version would continue with different tokens, so the stream ends with an error.
         shared_.dispatcher.Release(grant, RouteResult::kRefused, Duration(0));
         Refusal refusal;
         refusal.reason = RefusalReason::kNotResident;
@@ -83,27 +84,27 @@
       }
       unit_ = grant.unit;
       const AttemptEnd end = co_await Attempt(grant);
-      shared_.dispatcher.Release(grant, ResultOf(end), end.first_byte);
-      if (end.failure || !end.caller_gone) {
-        crash_guard_.Ended(grant.endpoint, end.failure, grant.started);
+      shared_.dispatcher.Release(grant, ToRouteResult(end), end.first_byte);
+      if (end.failure || !end.caller_disconnected) {
+        crash_guard_.AttemptEnded(grant.endpoint, end.failure, grant.started);
       }
-      if (end.caller_gone || !end.failure) {
+      if (end.caller_disconnected || !end.failure) {
         LogEnd(grant, end);
         co_return;
       }
-      auto decided = shared_.retries.Decide(*end.failure, state, Now());
+      auto decision = shared_.retries.Decide(*end.failure, state, Now());
       state.may_have_run = state.may_have_run || !ProvesNotRun(*end.failure);
-      if (auto* given_up = std::get_if<GiveUp>(&decided)) {
-        co_await Fail(RefusalOf(*given_up, *end.failure));
+      if (auto* given_up = std::get_if<GiveUp>(&decision)) {
+        co_await Fail(ToRefusal(*given_up, *end.failure));
         co_return;
       }
       LogRetry(grant, *end.failure);
       ++state.attempts;
-      ask.route.excluded.push_back(grant.endpoint.id);
-      if (ask.route.excluded.size() >= EndpointsServing()) {
-        ask.route.excluded.clear();  // all were tried: any may be tried again
+      dispatch.route.excluded.push_back(grant.endpoint.id);
+      if (dispatch.route.excluded.size() >= CountServingEndpoints()) {
+        dispatch.route.excluded.clear();  // all endpoints were tried: allow each again
       }
-      co_await PauseFor(shared_.context, std::get<RetryAfter>(decided).pause);
+      co_await PauseFor(shared_.context, std::get<RetryAfter>(decision).pause);
     }
   }
 
@@ -112,8 +113,8 @@
     Refusal refusal;
     refusal.reason = RefusalReason::kInvalidJson;
     auto parsed = ParseJsonObject(exchange_.Request().body(), "/");
-    if (auto* mistakes = std::get_if<JsonErrors>(&parsed)) {
-      refusal.detail = mistakes->front().Text();
+    if (auto* parse_errors = std::get_if<JsonErrors>(&parsed)) {
+      refusal.detail = parse_errors->front().Text();
       return refusal;
     }
     body_ = std::move(std::get<json::object>(parsed));
@@ -129,8 +130,8 @@
       return refusal;
     }
     const json::value* stream = body_.if_contains("stream");
-    stream_ = stream != nullptr && stream->is_bool() && stream->as_bool();
-    prompt_ = PromptOf(body_);
+    wants_stream_ = stream != nullptr && stream->is_bool() && stream->as_bool();
+    prompt_ = ExtractPrompt(body_);
     if (shared_.dispatcher.Current()->models.contains(model_)) {
       return std::nullopt;
     }
@@ -139,13 +140,13 @@
     return refusal;
   }
 
-  std::size_t EndpointsServing() const {
+  std::size_t CountServingEndpoints() const {
     const auto& models = shared_.dispatcher.Current()->models;
     const auto found = models.find(model_);
     return found == models.end() ? 0 : found->second.endpoints.size();
   }
 
-  bool Served() const { return EndpointsServing() > 0; }
+  bool HasEndpoints() const { return CountServingEndpoints() > 0; }
 
   HttpRequest MakeAttempt(const Grant& grant) {
     body_["model"] = grant.unit;
@@ -162,51 +163,52 @@
     return request;
   }
 
-  CallTimes Times() const {
-    CallTimes times;
-    times.connect = shared_.settings.deadlines.connect;
+  CallTimes MakeTimeouts() const {
+    CallTimes timeouts;
+    timeouts.connect = shared_.settings.deadlines.connect;
     const Duration between = shared_.settings.deadlines.between_tokens;
-    times.first_byte = started_ ? between : std::max(Duration(1), Between(Now(), info_.deadline));
-    times.between = stream_ ? between : times.first_byte;
-    return times;
+    timeouts.first_byte =
+        stream_started_ ? between : std::max(Duration(1), Between(Now(), info_.deadline));
+    timeouts.between = wants_stream_ ? between : timeouts.first_byte;
+    return timeouts;
   }
 
   Awaitable<AttemptEnd> Attempt(const Grant& grant) {
     AttemptEnd end;
     HttpRequest request = MakeAttempt(grant);
     const TimePoint sent = Now();
-    auto opened = co_await shared_.client.Open(grant.endpoint.address, std::move(request), Times(),
-                                               Reuse::kAllowed);
+    auto opened = co_await shared_.client.Open(grant.endpoint.address, std::move(request),
+                                               MakeTimeouts(), Reuse::kAllowed);
     if (auto* failure = std::get_if<HttpFailure>(&opened)) {
-      end.failure = FailureOf(*failure, AttemptFailure::kCutEarly);
+      end.failure = ClassifyFailure(*failure, AttemptFailure::kCutEarly);
       co_return end;
     }
-    auto answer = std::move(std::get<std::unique_ptr<HttpStream>>(opened));
+    auto response = std::move(std::get<std::unique_ptr<HttpStream>>(opened));
     end.first_byte = Between(sent, Now());
-    const bool leaving = HeedLeaving(shared_, grant.endpoint, *answer);
-    if (answer->Status() != 200) {
-      end.failure = RefusedBy(*answer, leaving);
+    const bool leaving = ReportIfLeaving(shared_, grant.endpoint, *response);
+    if (response->Status() != 200) {
+      end.failure = ClassifyStatus(*response, leaving);
       if (!end.failure) {
-        end.caller_gone = !co_await PassOn(*answer);
+        end.caller_disconnected = !co_await ForwardError(*response);
       }
-    } else if (answer->Header(header::kRequestId) != info_.request_id) {
-      // An answer to something else: it must not reach this caller.
+    } else if (response->Header(header::kRequestId) != info_.request_id) {
+      // A response to another request must not reach this caller.
       shared_.metrics.Count({"rudderloom_foreign_answers_total"});
       end.failure = AttemptFailure::kServerError;
-    } else if (answer->Header("Content-Type") == kEventStream) {
-      co_await PassEvents(*answer, end);
+    } else if (response->Header("Content-Type") == kEventStream) {
+      co_await ForwardEvents(*response, end);
     } else {
-      co_await PassWhole(*answer, end);
+      co_await ForwardBody(*response, end);
     }
-    if (!end.failure && !end.caller_gone) {
-      shared_.client.Release(grant.endpoint.address, std::move(answer));
+    if (!end.failure && !end.caller_disconnected) {
+      shared_.client.Release(grant.endpoint.address, std::move(response));
     }
     co_return end;
   }
 
-  // What an answer other than 200 means; empty when it is meant for the caller.
-  static std::optional<AttemptFailure> RefusedBy(const HttpStream& answer, bool leaving) {
-    switch (answer.Status()) {
+  // Classifies a status other than 200; empty if the response is to be forwarded to the caller.
+  static std::optional<AttemptFailure> ClassifyStatus(const HttpStream& response, bool leaving) {
+    switch (response.Status()) {
       case 404:
         return AttemptFailure::kNotResident;
       case 429:
@@ -216,56 +218,56 @@
       default:
         break;
     }
-    if (answer.Status() >= 500) {
+    if (response.Status() >= 500) {
       return AttemptFailure::kServerError;
     }
     return std::nullopt;
   }
 
-  // Passes an engine's complaint about the request on to the caller.
-  Awaitable<bool> PassOn(HttpStream& answer) {
+  // Forwards an error response of the engine to the caller.
+  Awaitable<bool> ForwardError(HttpStream& response) {
     Reply reply;
-    reply.status = answer.Status();
-    reply.content_type = answer.Header("Content-Type");
+    reply.status = response.Status();
+    reply.content_type = response.Header("Content-Type");
     reply.headers.emplace_back(header::kRequestId, info_.request_id);
-    auto body = co_await ReadWhole(answer);
+    auto body = co_await ReadFullBody(response);
     if (auto* text = std::get_if<std::string>(&body)) {
       reply.body = std::move(*text);
     }
     co_return co_await exchange_.Send(std::move(reply));
   }
 
-  Awaitable<void> PassWhole(HttpStream& answer, AttemptEnd& end) {
+  Awaitable<void> ForwardBody(HttpStream& response, AttemptEnd& end) {
     Reply reply;
-    reply.content_type = answer.Header("Content-Type");
+    reply.content_type = response.Header("Content-Type");
     reply.headers.emplace_back(header::kRequestId, info_.request_id);
-    auto body = co_await ReadWhole(answer);
+    auto body = co_await ReadFullBody(response);
     if (auto* failure = std::get_if<HttpFailure>(&body)) {
-      end.failure = FailureOf(*failure, AttemptFailure::kCutMidway);
+      end.failure = ClassifyFailure(*failure, AttemptFailure::kCutMidway);
       co_return;
     }
     reply.body = std::move(std::get<std::string>(body));
     ObserveFirstToken();
-    end.caller_gone = !co_await exchange_.Send(std::move(reply));
+    end.caller_disconnected = !co_await exchange_.Send(std::move(reply));
   }
 
-  // Passes whole events on as they come; ends without a failure only after the end mark.
-  Awaitable<void> PassEvents(HttpStream& answer, AttemptEnd& end) {
+  // Forwards complete events as they arrive. Succeeds only if the stream ends with its end marker.
+  Awaitable<void> ForwardEvents(HttpStream& response, AttemptEnd& end) {
     relay_.NextAttempt();
     while (true) {
-      auto piece = co_await answer.ReadSome();
+      auto piece = co_await response.ReadSome();
       if (auto* failure = std::get_if<HttpFailure>(&piece)) {
-        end.failure = FailureOf(*failure, AttemptFailure::kCutMidway);
+        end.failure = ClassifyFailure(*failure, AttemptFailure::kCutMidway);
         break;
       }
       if (std::holds_alternative<HttpStream::End>(piece)) {
-        end.failure = AttemptFailure::kCutMidway;  // it ended before its end mark
+        end.failure = AttemptFailure::kCutMidway;  // no end marker
         break;
       }
       std::string events;
       const auto verdict = relay_.Feed(std::get<std::string>(piece), events);
       if (!events.empty() && !co_await WriteEvents(events)) {
-        end.caller_gone = true;
+        end.caller_disconnected = true;
         co_return;
       }
       if (verdict == EventRelay::Verdict::kGap) {
@@ -273,25 +275,25 @@
         break;
       }
       if (relay_.Done()) {
-        end.caller_gone = !co_await exchange_.EndStream();
-        // Read the end of the body, so that the connection can be used again.
-        co_await answer.ReadSome();
+        end.caller_disconnected = !co_await exchange_.EndStream();
+        // Read the body to its end, so that the connection can be reused.
+        co_await response.ReadSome();
         co_return;
       }
     }
     if (!relay_.Resumable()) {
-      // Events without numbers can't be told apart, so nothing may follow them.
+      // Without event ids, a resumed stream could repeat or skip events.
       Refusal refusal;
       refusal.reason = RefusalReason::kEndpointFailed;
-      refusal.ran = Ran::kUnknown;
+      refusal.execution = ExecutionStatus::kUnknown;
       co_await Fail(std::move(refusal));
-      end.caller_gone = true;
+      end.caller_disconnected = true;
     }
   }
 
   Awaitable<bool> WriteEvents(const std::string& events) {
-    if (!started_) {
-      started_ = true;
+    if (!stream_started_) {
+      stream_started_ = true;
       ObserveFirstToken();
       HeaderList headers;
       headers.emplace_back(header::kRequestId, info_.request_id);
@@ -318,10 +320,11 @@
     shared_.metrics.Observe({"rudderloom_first_token_seconds"}, seconds);
   }
 
-  // The final answer: a refusal, or within a stream an error event and a cut, never a short end.
+  // Sends the final error. Within a stream it sends an error event and aborts the connection, so
+  // that the stream is never mistaken for a complete one.
   Awaitable<void> Fail(Refusal refusal) {
-    if (!started_) {
-      co_await Refuse(shared_, exchange_, std::move(refusal), info_.request_id);
+    if (!stream_started_) {
+      co_await SendRefusal(shared_, exchange_, std::move(refusal), info_.request_id);
       co_return;
     }
     shared_.metrics.Count({"rudderloom_refusals_total", "reason", NameOf(refusal.reason)});
@@ -329,13 +332,13 @@
         .With("request_id", info_.request_id)
         .With("reason", NameOf(refusal.reason))
         .With("last_event", relay_.LastId());
-    refusal.ran = Ran::kUnknown;
+    refusal.execution = ExecutionStatus::kUnknown;
     const std::string event = "data: " + ToJsonText(refusal, info_.request_id) + "\n\n";
     co_await exchange_.WriteChunk(event);
     exchange_.Abort();
   }
 
-  static RouteResult ResultOf(const AttemptEnd& end) {
+  static RouteResult ToRouteResult(const AttemptEnd& end) {
     if (!end.failure) {
       return RouteResult::kServed;
     }
@@ -355,13 +358,13 @@
   }
 
   void LogEnd(const Grant& grant, const AttemptEnd& end) {
-    shared_.metrics.Count(
-        {"rudderloom_requests_total", "result", end.caller_gone ? "caller_gone" : "served"});
+    shared_.metrics.Count({"rudderloom_requests_total", "result",
+                           end.caller_disconnected ? "caller_gone" : "served"});
     LogLine("completion_ended")
         .With("request_id", info_.request_id)
         .With("model", model_)
         .With("endpoint", grant.endpoint.name)
-        .With("result", end.caller_gone ? "caller_gone" : "served")
+        .With("result", end.caller_disconnected ? "caller_gone" : "served")
         .With("ms", Between(info_.arrived, Now()).count());
   }
 
@@ -371,10 +374,10 @@
   CrashGuard crash_guard_;
   json::object body_;
   std::string model_;
-  std::string unit_;  // that the latest attempt asked for
+  std::string unit_;  // requested by the latest attempt
   std::string prompt_;
-  bool stream_ = false;
-  bool started_ = false;  // the header of the stream was sent to the caller
+  bool wants_stream_ = false;
+  bool stream_started_ = false;  // the response header was sent to the caller
   EventRelay relay_;
 };
 
--- a/src/rudderloom/callers/crash_guard.cpp
+++ b/src/rudderloom/callers/crash_guard.cpp
@@ -6,13 +6,16 @@
 
 namespace {
 
-// As long as the quarantine lasts.
-constexpr Duration kComeBack{3'600'000};
-
-Awaitable<void> Ask(CallContext& shared, std::string address, std::string life) {
-  const bool ended = co_await NobodyListens(shared.context, std::move(address), kListeningAnswer);
-  if (ended) {
-    shared.crashes.Ended(life, Now());
+// Equal to the duration of a quarantine.
+constexpr Duration kQuarantineRetryDelay{3'600'000};
+
+Awaitable<void> ReportIfExited(CallContext& shared,
+                               std::string address,
+                               std::string incarnation_key) {
+  const bool process_exited =
+      co_await NobodyListens(shared.context, std::move(address), kListeningAnswer);
+  if (process_exited) {
+    shared.crashes.Ended(incarnation_key, Now());
   }
 }
 
@@ -35,14 +38,14 @@
   }
   Refusal refusal;
   refusal.reason = RefusalReason::kQuarantined;
-  refusal.ran = Ran::kUnknown;
-  refusal.come_back = kComeBack;
+  refusal.execution = ExecutionStatus::kUnknown;
+  refusal.retry_delay = kQuarantineRetryDelay;
   return refusal;
 }
 
-void CrashGuard::Ended(const EndpointView& endpoint,
-                       std::optional<AttemptFailure> failure,
-                       TimePoint sent_at) {
+void CrashGuard::AttemptEnded(const EndpointView& endpoint,
+                              std::optional<AttemptFailure> failure,
+                              TimePoint sent_at) {
   if (!failure) {
     shared_.crashes.Answered(Digest(), shared_.dispatcher.Current()->quarantine);
     return;
@@ -50,9 +53,10 @@
   if (*failure != AttemptFailure::kCutEarly && *failure != AttemptFailure::kCutMidway) {
     return;
   }
-  const std::string life = endpoint.name + "#" + endpoint.incarnation;
-  if (shared_.crashes.Broke(life, Digest(), sent_at, Now())) {
-    asio::co_spawn(shared_.context, Ask(shared_, endpoint.address, life), asio::detached);
+  const std::string incarnation_key = endpoint.name + "#" + endpoint.incarnation;
+  if (shared_.crashes.Broke(incarnation_key, Digest(), sent_at, Now())) {
+    asio::co_spawn(shared_.context, ReportIfExited(shared_, endpoint.address, incarnation_key),
+                   asio::detached);
   }
 }
 
--- a/src/rudderloom/callers/crash_guard.hpp
+++ b/src/rudderloom/callers/crash_guard.hpp
@@ -1,4 +1,4 @@
-// Keeps requests that end endpoints away from them, and finds out which do, for one call.
+// Rejects quarantined requests and reports crashes of endpoints, for one request.
 #ifndef RUDDERLOOM_CALLERS_CRASH_GUARD_HPP
 #define RUDDERLOOM_CALLERS_CRASH_GUARD_HPP
 
@@ -11,17 +11,18 @@
 
 class CrashGuard {
  public:
-  // All of these must outlive it.
+  // The arguments must outlive the CrashGuard.
   CrashGuard(CallContext& shared, const HttpExchange& exchange, const RequestInfo& info)
       : shared_(shared), exchange_(exchange), info_(info) {}
 
-  // Why the request is not to be sent to an endpoint; nothing when it may be.
+  // Returns a refusal if the request is quarantined.
   std::optional<Refusal> Check();
 
-  // An attempt that began at `sent_at` has ended; no failure: its endpoint has answered whole.
-  void Ended(const EndpointView& endpoint,
-             std::optional<AttemptFailure> failure,
-             TimePoint sent_at);
+  // Records the result of an attempt that was sent at `sent_at`. Without a failure, the endpoint
+  // has sent a complete response.
+  void AttemptEnded(const EndpointView& endpoint,
+                    std::optional<AttemptFailure> failure,
+                    TimePoint sent_at);
 
  private:
   const RequestDigest& Digest();
@@ -29,7 +30,7 @@
   CallContext& shared_;
   const HttpExchange& exchange_;
   const RequestInfo& info_;
-  std::optional<RequestDigest> digest_;  // worked out when it is first asked for
+  std::optional<RequestDigest> digest_;  // computed on first use
 };
 
 }  // namespace rudderloom
--- a/src/rudderloom/callers/dispatcher.cpp
+++ b/src/rudderloom/callers/dispatcher.cpp
@@ -6,9 +6,9 @@
 
 namespace {
 
-constexpr Duration kPumpEvery{10};
-// Requests from this priority on only fill what more urgent work leaves.
-constexpr std::int64_t kFillsFrom = 7;
+constexpr Duration kDispatchInterval{10};
+// Requests with this or a less urgent priority only use capacity that other requests leave free.
+constexpr std::int64_t kMinBackgroundPriority = 7;
 
 }  // namespace
 
@@ -18,94 +18,95 @@
       router_(seed),
       queue_(queue) {}
 
-void Dispatcher::Use(SnapshotPtr snapshot) {
+void Dispatcher::UpdateSnapshot(SnapshotPtr snapshot) {
   snapshot_ = std::move(snapshot);
-  Pump();
+  DispatchWaiting();
 }
 
-const ServingSet* Dispatcher::SetOf(const DispatchAsk& ask) const {
-  const auto& sets = ask.service ? snapshot_->services : snapshot_->models;
-  const auto found = sets.find(ask.target);
+const ServingSet* Dispatcher::FindServingSet(const DispatchRequest& dispatch) const {
+  const auto& sets = dispatch.service ? snapshot_->services : snapshot_->models;
+  const auto found = sets.find(dispatch.target);
   return found == sets.end() ? nullptr : &found->second;
 }
 
-std::optional<Grant> Dispatcher::TryStart(const DispatchAsk& ask) {
-  const ServingSet* set = SetOf(ask);
+std::optional<Grant> Dispatcher::TryStart(const DispatchRequest& dispatch) {
+  const ServingSet* set = FindServingSet(dispatch);
   if (set == nullptr) {
     return std::nullopt;
   }
-  RouteAsk route = ask.route;
-  route.fills = ask.priority >= kFillsFrom;
+  RouteAsk route = dispatch.route;
+  route.fills = dispatch.priority >= kMinBackgroundPriority;
   const TimePoint now = Now();
   const auto chosen = router_.Choose(*snapshot_, *set, route, now);
   if (!chosen) {
     return std::nullopt;
   }
-  Grant grant{snapshot_->endpoints[*chosen], set->unit, ask.target, now};
+  Grant grant{snapshot_->endpoints[*chosen], set->unit, dispatch.target, now};
   router_.Started(grant.endpoint.id);
   ++running_[grant.target];
   ++in_flight_[grant.endpoint.name];
   return grant;
 }
 
-Awaitable<std::variant<Grant, AdmissionRefusal>> Dispatcher::Acquire(DispatchAsk ask) {
+Awaitable<std::variant<Grant, AdmissionRefusal>> Dispatcher::Acquire(DispatchRequest dispatch) {
   const TimePoint now = Now();
-  if (queue_.Waiting(ask.target) == 0 && now < ask.deadline) {
-    if (auto grant = TryStart(ask)) {
+  if (queue_.Waiting(dispatch.target) == 0 && now < dispatch.deadline) {
+    if (auto grant = TryStart(dispatch)) {
       co_return std::move(*grant);
     }
   }
   Applicant applicant;
   applicant.ticket = ++next_ticket_;
-  applicant.target = ask.target;
-  applicant.caller = ask.caller;
-  applicant.priority = ask.priority;
-  applicant.deadline = ask.deadline;
-  const ServingSet* set = SetOf(ask);
-  const std::uint32_t room = set == nullptr ? 0 : router_.Room(*snapshot_, *set);
-  if (auto refused = queue_.Enter(applicant, room, now)) {
+  applicant.target = dispatch.target;
+  applicant.caller = dispatch.caller;
+  applicant.priority = dispatch.priority;
+  applicant.deadline = dispatch.deadline;
+  const ServingSet* set = FindServingSet(dispatch);
+  const std::uint32_t capacity = set == nullptr ? 0 : router_.Room(*snapshot_, *set);
+  if (auto refused = queue_.Enter(applicant, capacity, now)) {
     co_return *refused;
   }
-  Waiter waiter{std::move(ask), Timer(context_), std::nullopt};
+  Waiter waiter{std::move(dispatch), Timer(context_), std::nullopt};
   waiter.timer.expires_at(TimePoint::max());
   waiters_[applicant.ticket] = &waiter;
-  if (!pumping_) {
-    pumping_ = true;
-    asio::co_spawn(context_, PumpLoop(), asio::detached);
+  if (!loop_running_) {
+    loop_running_ = true;
+    asio::co_spawn(context_, DispatchLoop(), asio::detached);
   }
-  Pump();
+  DispatchWaiting();
   while (!waiter.result) {
     co_await waiter.timer.async_wait(kAsTuple);
   }
   co_return std::move(*waiter.result);
 }
 
-// Starts what can start, and refuses what has waited too long.
-void Dispatcher::Pump() {
+// Starts waiting requests that have a free endpoint and rejects those past their deadline.
+void Dispatcher::DispatchWaiting() {
   if (queue_.Size() == 0) {
     return;
   }
   for (const Applicant& late : queue_.Expire(Now())) {
     Waiter* waiter = waiters_.at(late.ticket);
     waiters_.erase(late.ticket);
-    const std::uint32_t room = 1;
+    const std::uint32_t capacity = 1;
     waiter->result = AdmissionRefusal{
         AdmissionRefusal::Reason::kDeadlinePassed,
-        std::max(Duration(1'000), queue_.ExpectedWait(late.target, late.priority, room))};
+        std::max(Duration(1'000), queue_.ExpectedWait(late.target, late.priority, capacity))};
     waiter->timer.cancel();
   }
-  std::set<std::pair<std::string, std::int64_t>> full;  // targets that had no place this time
+  std::set<std::pair<std::string, std::int64_t>> full_targets;  // no free endpoint in this pass
   while (true) {
     std::optional<Grant> grant;
     const auto next = queue_.Next([&](const Applicant& applicant) {
-      const DispatchAsk& ask = waiters_.at(applicant.ticket)->ask;
-      const std::pair<std::string, std::int64_t> place{applicant.target, applicant.priority};
-      if (ask.route.excluded.empty() && full.contains(place)) {
+      const DispatchRequest& dispatch = waiters_.at(applicant.ticket)->dispatch;
+      const std::pair<std::string, std::int64_t> target_and_priority{applicant.target,
+                                                                     applicant.priority};
+      if (dispatch.route.excluded.empty() && full_targets.contains(target_and_priority)) {
         return false;
       }
-      grant = TryStart(ask);
+      grant = TryStart(dispatch);
       if (!grant) {
-        full.insert(place);
+        full_targets.insert(target_and_priority);
       }
       return grant.has_value();
     });
@@ -119,13 +120,13 @@
   }
 }
 
-Awaitable<void> Dispatcher::PumpLoop() {
+Awaitable<void> Dispatcher::DispatchLoop() {
   while (queue_.Size() > 0) {
-    Timer pause(context_, kPumpEvery);
+    Timer pause(context_, kDispatchInterval);
     co_await pause.async_wait(kAsTuple);
-    Pump();
+    DispatchWaiting();
   }
-  pumping_ = false;
+  loop_running_ = false;
 }
 
 void Dispatcher::Release(const Grant& grant, RouteResult result, Duration first_byte) {
@@ -140,7 +141,7 @@
   if (--in_flight_[grant.endpoint.name] == 0) {
     in_flight_.erase(grant.endpoint.name);
   }
-  Pump();
+  DispatchWaiting();
 }
 
 message::TrafficSampled Dispatcher::Sample() const {
@@ -148,7 +149,7 @@
   sampled.in_flight = in_flight_;
   sampled.demand = running_;
   for (const auto& [ticket, waiter] : waiters_) {
-    ++sampled.demand[waiter->ask.target];
+    ++sampled.demand[waiter->dispatch.target];
   }
   return sampled;
 }
--- a/src/rudderloom/callers/front.cpp
+++ b/src/rudderloom/callers/front.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr Duration kSampleEvery{100};
-constexpr std::string_view kServices = "/services/";
+constexpr Duration kSampleInterval{100};
+constexpr std::string_view kServicesPath = "/services/";
 
-std::uint64_t SeedOf(const std::string& incarnation) {
+std::uint64_t SeedFrom(const std::string& incarnation) {
   return std::hash<std::string>{}(incarnation);
 }
 
-HttpLimits LimitsOf(const LimitSettings& settings) {
+HttpLimits ToHttpLimits(const LimitSettings& settings) {
   HttpLimits limits;
   limits.header_bytes = static_cast<std::uint32_t>(settings.header);
   limits.body_bytes = settings.body;
@@ -48,9 +48,9 @@
       contact_(contact),
       metrics_(metrics),
       hooks_(std::move(hooks)),
-      dispatcher_(context, settings.limits.queue, SeedOf(incarnation)),
+      dispatcher_(context, settings.limits.queue, SeedFrom(incarnation)),
       client_(context),
-      retries_(settings.retries, SeedOf(incarnation) + 1),
+      retries_(settings.retries, SeedFrom(incarnation) + 1),
       claims_(context, store, incarnation, settings.claims, metrics),
       shared_{context,
               settings,
@@ -61,21 +61,22 @@
               metrics,
               crashes_,
               [this](std::string endpoint) {
-                hooks_.post(message::LeavingSaid{std::move(endpoint)});
+                hooks_.post(message::EndpointAnnouncedLeaving{std::move(endpoint)});
               }} {}
 
 std::string Front::Start() {
   HttpHandlers handlers;
   handlers.handle = [this](HttpExchange& exchange) { return Handle(exchange); };
   handlers.read_failure = [this](ReadFailure failure) {
-    const Refusal refusal = RefusalOf(failure);
+    const Refusal refusal = ToRefusal(failure);
     metrics_.Count({"rudderloom_refusals_total", "reason", NameOf(refusal.reason)});
-    return ToReply(refusal, RequestIdOf(HttpRequest()));
+    return ToReply(refusal, GetRequestId(HttpRequest()));
   };
   handlers.slow_reader = [this] {
     metrics_.Count({"rudderloom_refusals_total", "reason", "slow_reader"});
   };
-  server_ = std::make_shared<HttpServer>(context_, LimitsOf(settings_.limits), std::move(handlers));
+  server_ =
+      std::make_shared<HttpServer>(context_, ToHttpLimits(settings_.limits), std::move(handlers));
   const std::uint16_t port = server_->Listen(settings_.callers.address, settings_.callers.port);
   asio::co_spawn(context_, SampleLoop(), asio::detached);
   return settings_.callers.address + ":" + std::to_string(port);
@@ -83,7 +84,7 @@
 
 void Front::Use(SnapshotPtr snapshot) {
   asio::post(context_, [this, snapshot = std::move(snapshot)]() mutable {
-    dispatcher_.Use(std::move(snapshot));
+    dispatcher_.UpdateSnapshot(std::move(snapshot));
   });
 }
 
@@ -94,7 +95,7 @@
 
 Awaitable<void> Front::SampleLoop() {
   while (true) {
-    Timer pause(context_, kSampleEvery);
+    Timer pause(context_, kSampleInterval);
     co_await pause.async_wait(kAsTuple);
     metrics_.Set({"rudderloom_waiting"}, static_cast<double>(dispatcher_.Waiting()));
     metrics_.Set({"rudderloom_running"}, static_cast<double>(server_->Active()));
@@ -105,8 +106,8 @@
   }
 }
 
-// Why this node takes no requests at the moment; empty when it does.
-std::optional<RefusalReason> Front::NotServing() const {
+// Returns why this node can't serve requests at present; empty if it can.
+std::optional<RefusalReason> Front::UnavailableReason() const {
   if (!dispatcher_.Current()->ready) {
     return RefusalReason::kNotReady;
   }
@@ -117,7 +118,7 @@
 }
 
 Reply Front::Readiness() const {
-  const auto reason = NotServing();
+  const auto reason = UnavailableReason();
   if (!stopping_ && !reason) {
     return TextReply(200, "application/json", R"({"ready":true})");
   }
@@ -141,26 +142,26 @@
 }
 
 Awaitable<void> Front::HandleCall(HttpExchange& exchange, std::string path) {
-  std::string request_id = RequestIdOf(exchange.Request());
+  std::string request_id = GetRequestId(exchange.Request());
   const bool chat = path == "/v1/chat/completions";
   const bool completion = chat || path == "/v1/completions";
   const bool models = path == "/v1/models";
-  const bool service = path.starts_with(kServices);
+  const bool service = path.starts_with(kServicesPath);
   Refusal refusal;
   if (!completion && !models && !service) {
     refusal.reason = RefusalReason::kUnknownPath;
-    co_await Refuse(shared_, exchange, std::move(refusal), std::move(request_id));
+    co_await SendRefusal(shared_, exchange, std::move(refusal), std::move(request_id));
     co_return;
   }
-  const http::verb wanted = completion ? http::verb::post : http::verb::get;
-  if (!service && exchange.Request().method() != wanted) {
+  const http::verb expected_method = completion ? http::verb::post : http::verb::get;
+  if (!service && exchange.Request().method() != expected_method) {
     refusal.reason = RefusalReason::kMethodNotAllowed;
-    co_await Refuse(shared_, exchange, std::move(refusal), std::move(request_id));
+    co_await SendRefusal(shared_, exchange, std::move(refusal), std::move(request_id));
     co_return;
   }
-  if (const auto reason = NotServing()) {
+  if (const auto reason = UnavailableReason()) {
     refusal.reason = *reason;
-    co_await Refuse(shared_, exchange, std::move(refusal), std::move(request_id));
+    co_await SendRefusal(shared_, exchange, std::move(refusal), std::move(request_id));
     co_return;
   }
   if (models) {
@@ -171,14 +172,14 @@
   auto info = ReadRequestInfo(exchange.Request(), request_id, *configuration, settings_.deadlines,
                               Now(), UnixSeconds());
   if (auto* refused = std::get_if<Refusal>(&info)) {
-    co_await Refuse(shared_, exchange, std::move(*refused), std::move(request_id));
+    co_await SendRefusal(shared_, exchange, std::move(*refused), std::move(request_id));
     co_return;
   }
-  RequestInfo known = std::move(std::get<RequestInfo>(info));
+  RequestInfo request_info = std::move(std::get<RequestInfo>(info));
   if (service) {
-    co_await ServeService(shared_, exchange, std::move(known));
+    co_await ServeService(shared_, exchange, std::move(request_info));
   } else {
-    co_await ServeCompletion(shared_, exchange, std::move(known));
+    co_await ServeCompletion(shared_, exchange, std::move(request_info));
   }
 }
 
--- a/src/rudderloom/callers/service_call.cpp
+++ b/src/rudderloom/callers/service_call.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-constexpr std::string_view kPrefix = "/services/";
-constexpr Duration kClaimTime{2'000};
+constexpr std::string_view kServicesPath = "/services/";
+constexpr Duration kClaimTimeout{2'000};
 
-// Headers of the caller's request that concern only its own connection.
-bool IsOneHop(http::field field) {
+// Whether a request header applies only to the caller's connection and is not forwarded.
+bool IsHopByHop(http::field field) {
   return field == http::field::connection || field == http::field::host ||
          field == http::field::keep_alive || field == http::field::transfer_encoding ||
          field == http::field::content_length || field == http::field::upgrade;
 }
 
-// One call of a plain service. A call that may not be repeated is sent a second time only when
-// it is certain that the first sending did not run.
+// Serves one request to a plain service. A request that is not repeatable is retried only if the
+// previous attempt certainly did not execute.
 class ServiceCall {
  public:
   ServiceCall(CallContext& shared, HttpExchange& exchange, RequestInfo info)
@@ -30,20 +30,20 @@
 
   Awaitable<void> Run() {
     if (auto refusal = ReadTarget()) {
-      co_await Refuse(shared_, exchange_, std::move(*refusal), info_.request_id);
+      co_await SendRefusal(shared_, exchange_, std::move(*refusal), info_.request_id);
       co_return;
     }
-    if (!repeatable_ && !info_.idempotency_key.empty() && !co_await TakeClaim()) {
+    if (!repeatable_ && !info_.idempotency_key.empty() && !co_await AcquireClaim()) {
       co_return;
     }
-    co_await Attempts();
+    co_await RunAttempts();
   }
 
  private:
   std::optional<Refusal> ReadTarget() {
     const auto whole = exchange_.Request().target();
     std::string_view rest(whole.data(), whole.size());
-    rest.remove_prefix(kPrefix.size());
+    rest.remove_prefix(kServicesPath.size());
     const std::size_t end = std::min(rest.find_first_of("/?"), rest.size());
     service_ = rest.substr(0, end);
     target_ = rest.substr(end);
@@ -67,38 +67,38 @@
     return std::nullopt;
   }
 
-  // Claims the call; false when the caller has its answer already.
-  Awaitable<bool> TakeClaim() {
+  // Claims the idempotency key. Returns false if a response was already sent to the caller.
+  Awaitable<bool> AcquireClaim() {
     key_ = ClaimKey(service_, info_.caller, info_.idempotency_key);
     const HttpRequest& request = exchange_.Request();
     std::string fingerprint =
         Fingerprint(std::string(request.method_string()), target_, request.body());
-    const std::string mine = fingerprint;
+    const std::string own_fingerprint = fingerprint;
     const Duration limit =
-        std::max(Duration(1), std::min(kClaimTime, Between(Now(), info_.deadline)));
+        std::max(Duration(1), std::min(kClaimTimeout, Between(Now(), info_.deadline)));
     ClaimResult result = co_await shared_.claims.Take(key_, std::move(fingerprint), limit);
     if (auto* granted = std::get_if<ClaimGranted>(&result)) {
       claim_ = granted->claim;
       co_return true;
     }
     if (auto* taken = std::get_if<ClaimTaken>(&result)) {
-      co_await AnswerTaken(taken->claim, mine);
+      co_await ReplyFromClaim(taken->claim, own_fingerprint);
       co_return false;
     }
     Refusal refusal;
     refusal.reason = RefusalReason::kClaimsUnavailable;
     refusal.detail = std::get<ClaimUnavailable>(result).message;
-    co_await Refuse(shared_, exchange_, std::move(refusal), info_.request_id);
+    co_await SendRefusal(shared_, exchange_, std::move(refusal), info_.request_id);
     co_return false;
   }
 
-  // The first caller's outcome, or the truth about it.
-  Awaitable<void> AnswerTaken(const Claim& claim, const std::string& fingerprint) {
+  // Replays the stored response of an earlier request with the same key, or reports its state.
+  Awaitable<void> ReplyFromClaim(const Claim& claim, const std::string& fingerprint) {
     Refusal refusal;
-    refusal.ran = Ran::kUnknown;
+    refusal.execution = ExecutionStatus::kUnknown;
     if (claim.fingerprint != fingerprint) {
       refusal.reason = RefusalReason::kKeyReused;
-      refusal.ran = Ran::kNo;
+      refusal.execution = ExecutionStatus::kNotExecuted;
     } else if (claim.state == ClaimState::kEnded && claim.body_kept) {
       Reply reply;
       reply.status = claim.status;
@@ -117,45 +117,46 @@
     } else {
       refusal.reason = RefusalReason::kOutcomeUnknown;
     }
-    co_await Refuse(shared_, exchange_, std::move(refusal), info_.request_id);
+    co_await SendRefusal(shared_, exchange_, std::move(refusal), info_.request_id);
   }
 
-  Awaitable<void> Attempts() {
+  Awaitable<void> RunAttempts() {
     shared_.retries.FirstAttempt();
     AttemptState state;
     state.repeatable = repeatable_;
     state.deadline = info_.deadline;
     state.retried_before = info_.retried_before;
-    DispatchAsk ask;
-    ask.target = service_;
-    ask.service = true;
-    ask.caller = info_.caller;
-    ask.priority = info_.priority;
-    ask.deadline = info_.deadline;
-    ask.route.prefix = std::hash<std::string>{}(info_.request_id);
+    DispatchRequest dispatch;
+    dispatch.target = service_;
+    dispatch.service = true;
+    dispatch.caller = info_.caller;
+    dispatch.priority = info_.priority;
+    dispatch.deadline = info_.deadline;
+    dispatch.route.prefix = std::hash<std::string>{}(info_.request_id);
     while (true) {
       if (auto refusal = crash_guard_.Check()) {
         co_await Fail(std::move(*refusal));
         co_return;
       }
-      DispatchAsk present = ask;
-      auto acquired = co_await shared_.dispatcher.Acquire(std::move(present));
+      DispatchRequest attempt_dispatch = dispatch;
+      auto acquired = co_await shared_.dispatcher.Acquire(std::move(attempt_dispatch));
       if (auto* refused = std::get_if<AdmissionRefusal>(&acquired)) {
-        Refusal refusal = RefusalOf(*refused, true);
-        refusal.ran = state.may_have_run ? Ran::kUnknown : Ran::kNo;
+        Refusal refusal = ToRefusal(*refused, true);
+        refusal.execution =
+            state.may_have_run ? ExecutionStatus::kUnknown : ExecutionStatus::kNotExecuted;
         co_await Fail(std::move(refusal));
         co_return;
       }
       const Grant grant = std::move(std::get<Grant>(acquired));
       const auto failure = co_await Attempt(grant);
-      crash_guard_.Ended(grant.endpoint, failure, grant.started);
+      crash_guard_.AttemptEnded(grant.endpoint, failure, grant.started);
       if (!failure) {
         co_return;
       }
-      auto decided = shared_.retries.Decide(*failure, state, Now());
+      auto decision = shared_.retries.Decide(*failure, state, Now());
       state.may_have_run = state.may_have_run || !ProvesNotRun(*failure);
-      if (auto* given_up = std::get_if<GiveUp>(&decided)) {
-        co_await Fail(RefusalOf(*given_up, *failure));
+      if (auto* given_up = std::get_if<GiveUp>(&decision)) {
+        co_await Fail(ToRefusal(*given_up, *failure));
         co_return;
       }
       shared_.metrics.Count({"rudderloom_retries_total", "reason", NameOf(*failure)});
@@ -164,8 +165,8 @@
           .With("reason", NameOf(*failure))
           .With("endpoint", grant.endpoint.name);
       ++state.attempts;
-      ask.route.excluded = {grant.endpoint.id};
-      co_await PauseFor(shared_.context, std::get<RetryAfter>(decided).pause);
+      dispatch.route.excluded = {grant.endpoint.id};
+      co_await PauseFor(shared_.context, std::get<RetryAfter>(decision).pause);
     }
   }
 
@@ -173,7 +174,7 @@
     const HttpRequest& original = exchange_.Request();
     HttpRequest request(original.method(), target_, 11);
     for (const auto& field : original) {
-      if (!IsOneHop(field.name())) {
+      if (!IsHopByHop(field.name())) {
         request.insert(field.name_string(), field.value());
       }
     }
@@ -184,39 +185,39 @@
     return request;
   }
 
-  // Sends the call once and passes its answer on; gives why there was none.
+  // Sends the request once and forwards the response. Returns the failure if there was none.
   Awaitable<std::optional<AttemptFailure>> Attempt(const Grant& grant) {
     HttpRequest request = MakeAttempt(grant);
     const Duration left = std::max(Duration(1), Between(Now(), info_.deadline));
-    CallTimes times;
-    times.connect = std::min(left, shared_.settings.deadlines.connect);
-    times.first_byte = left;
-    times.between = left;
+    CallTimes timeouts;
+    timeouts.connect = std::min(left, shared_.settings.deadlines.connect);
+    timeouts.first_byte = left;
+    timeouts.between = left;
     const TimePoint sent = Now();
-    // On a connection used before, a cut can't be told from a call that was read.
+    // On a reused connection, a disconnect does not show whether the endpoint has read the request.
     const Reuse reuse = repeatable_ ? Reuse::kAllowed : Reuse::kNever;
     auto opened =
-        co_await shared_.client.Open(grant.endpoint.address, std::move(request), times, reuse);
+        co_await shared_.client.Open(grant.endpoint.address, std::move(request), timeouts, reuse);
     if (auto* failed = std::get_if<HttpFailure>(&opened)) {
-      const AttemptFailure failure = FailureOf(*failed, AttemptFailure::kCutEarly);
+      const AttemptFailure failure = ClassifyFailure(*failed, AttemptFailure::kCutEarly);
       shared_.dispatcher.Release(grant, RouteResult::kFailed, Duration(0));
       co_return failure;
     }
-    auto answer = std::move(std::get<std::unique_ptr<HttpStream>>(opened));
+    auto response = std::move(std::get<std::unique_ptr<HttpStream>>(opened));
     const Duration first_byte = Between(sent, Now());
-    if (HeedLeaving(shared_, grant.endpoint, *answer) && answer->Status() == 503) {
+    if (ReportIfLeaving(shared_, grant.endpoint, *response) && response->Status() == 503) {
       shared_.dispatcher.Release(grant, RouteResult::kRefused, first_byte);
       co_return AttemptFailure::kLeaving;
     }
     Reply reply;
-    reply.status = answer->Status();
-    std::optional<HttpFailure> cut = co_await ReadBody(*answer, reply);
-    if (cut) {
+    reply.status = response->Status();
+    std::optional<HttpFailure> body_failure = co_await ReadBody(*response, reply);
+    if (body_failure) {
       shared_.dispatcher.Release(grant, RouteResult::kFailed, first_byte);
-      co_return FailureOf(*cut, AttemptFailure::kCutMidway);
+      co_return ClassifyFailure(*body_failure, AttemptFailure::kCutMidway);
     }
     shared_.dispatcher.Release(grant, RouteResult::kServed, first_byte);
-    shared_.client.Release(grant.endpoint.address, std::move(answer));
+    shared_.client.Release(grant.endpoint.address, std::move(response));
     FinishClaim(reply);
     shared_.metrics.Count({"rudderloom_requests_total", "result", "served"});
     LogLine("service_call_ended")
@@ -229,15 +230,15 @@
     co_return std::nullopt;
   }
 
-  Awaitable<std::optional<HttpFailure>> ReadBody(HttpStream& answer, Reply& reply) {
-    reply.content_type = answer.Header("Content-Type");
-    for (const auto& [name, value] : answer.EndToEndHeaders()) {
+  Awaitable<std::optional<HttpFailure>> ReadBody(HttpStream& response, Reply& reply) {
+    reply.content_type = response.Header("Content-Type");
+    for (const auto& [name, value] : response.EndToEndHeaders()) {
       if (!beast::iequals(name, "Content-Type") && !beast::iequals(name, header::kRequestId)) {
         reply.headers.emplace_back(name, value);
       }
     }
     reply.headers.emplace_back(header::kRequestId, info_.request_id);
-    auto body = co_await ReadWhole(answer);
+    auto body = co_await ReadFullBody(response);
     if (auto* failure = std::get_if<HttpFailure>(&body)) {
       co_return std::move(*failure);
     }
@@ -259,14 +260,14 @@
   }
 
   Awaitable<void> Fail(Refusal refusal) {
-    if (claim_ && refusal.ran == Ran::kNo) {
+    if (claim_ && refusal.execution == ExecutionStatus::kNotExecuted) {
       shared_.claims.Release(key_, *claim_);
     } else if (claim_) {
       Claim unknown = *claim_;
       unknown.state = ClaimState::kUnknown;
       shared_.claims.Finish(key_, unknown);
     }
-    co_await Refuse(shared_, exchange_, std::move(refusal), info_.request_id);
+    co_await SendRefusal(shared_, exchange_, std::move(refusal), info_.request_id);
   }
 
   CallContext& shared_;
--- a/src/rudderloom/control/control_actor.cpp
+++ b/src/rudderloom/control/control_actor.cpp
@@ -6,7 +6,7 @@
 #include <caf/send.hpp>                 // for anon_send
 #include <ctime>                        // for clock_gettime
 
-// Messages stay inside one process, so they are never serialized.
+// Messages stay within the process and are never serialized.
 #define RUDDERLOOM_LOCAL_MESSAGE(name) CAF_ALLOW_UNSAFE_MESSAGE_TYPE(rudderloom::message::name)
 RUDDERLOOM_LOCAL_MESSAGE(ConfigurationSeen)
 RUDDERLOOM_LOCAL_MESSAGE(EndpointsListed)
@@ -17,8 +17,8 @@
 RUDDERLOOM_LOCAL_MESSAGE(PoolCallEnded)
 RUDDERLOOM_LOCAL_MESSAGE(OrderEnded)
 RUDDERLOOM_LOCAL_MESSAGE(EndpointPolled)
-RUDDERLOOM_LOCAL_MESSAGE(PeerHeard)
-RUDDERLOOM_LOCAL_MESSAGE(LeavingSaid)
+RUDDERLOOM_LOCAL_MESSAGE(HeartbeatReceived)
+RUDDERLOOM_LOCAL_MESSAGE(EndpointAnnouncedLeaving)
 RUDDERLOOM_LOCAL_MESSAGE(TrafficSampled)
 RUDDERLOOM_LOCAL_MESSAGE(Tick)
 RUDDERLOOM_LOCAL_MESSAGE(StopAsked)
@@ -35,13 +35,13 @@
   return static_cast<double>(time.tv_sec) + static_cast<double>(time.tv_nsec) * kNano;
 }
 
-// What the actor keeps between messages.
-struct Keeper {
+// State of the actor between messages.
+struct ActorState {
   ControlState state;
   ControlSinks sinks;
   Duration heartbeat;
   TimePoint reported_at;
-  std::uint64_t generation = 0;  // of the newest snapshot
+  std::uint64_t generation = 0;  // of the configuration in the latest snapshot
 
   template <class Message>
   void Handle(const Message& message) {
@@ -50,19 +50,19 @@
     if (!effects.pool.empty()) {
       sinks.effects(std::move(effects.pool));
     }
-    bool changed = false;
+    bool configuration_changed = false;
     if (effects.snapshot) {
-      changed = effects.snapshot->configuration->generation != generation;
+      configuration_changed = effects.snapshot->configuration->generation != generation;
       generation = effects.snapshot->configuration->generation;
       sinks.snapshot(std::move(effects.snapshot));
     }
-    const bool due = now - reported_at >= heartbeat;
-    if (due) {
+    const bool heartbeat_due = now - reported_at >= heartbeat;
+    if (heartbeat_due) {
       reported_at = now;
       sinks.cpu_seconds(ThreadCpuSeconds());
     }
-    if (due || changed) {
-      sinks.report(state.Report(now, due));
+    if (heartbeat_due || configuration_changed) {
+      sinks.report(state.Report(now, heartbeat_due));
     }
   }
 
@@ -72,8 +72,9 @@
   }
 };
 
-caf::behavior Behave(caf::event_based_actor*, const std::shared_ptr<Keeper>& keeper) {
-  Keeper& k = *keeper;
+caf::behavior MakeBehavior(caf::event_based_actor*,
+                           const std::shared_ptr<ActorState>& actor_state) {
+  ActorState& k = *actor_state;
   return {
       k.Handler<message::ConfigurationSeen>(),
       k.Handler<message::EndpointsListed>(),
@@ -84,16 +85,16 @@
       k.Handler<message::PoolCallEnded>(),
       k.Handler<message::OrderEnded>(),
       k.Handler<message::EndpointPolled>(),
-      k.Handler<message::PeerHeard>(),
-      k.Handler<message::LeavingSaid>(),
+      k.Handler<message::HeartbeatReceived>(),
+      k.Handler<message::EndpointAnnouncedLeaving>(),
       k.Handler<message::TrafficSampled>(),
       k.Handler<message::Tick>(),
       k.Handler<message::StopAsked>(),
   };
 }
 
-// The control state has a thread of its own, so CAF's scheduler needs no more than one.
-caf::actor_system_config& Config() {
+// The detached actor has its own thread, so one thread is enough for CAF's scheduler.
+caf::actor_system_config& ActorSystemConfig() {
   static caf::actor_system_config config;
   config.set("scheduler.max-threads", 1);
   return config;
@@ -102,12 +103,12 @@
 }  // namespace
 
 struct ControlActor::Impl {
-  explicit Impl(std::shared_ptr<Keeper> kept)
-      : keeper(std::move(kept)),
-        system(Config()),
-        actor(system.spawn<caf::detached>(Behave, keeper)) {}
+  explicit Impl(std::shared_ptr<ActorState> initial_state)
+      : actor_state(std::move(initial_state)),
+        system(ActorSystemConfig()),
+        actor(system.spawn<caf::detached>(MakeBehavior, actor_state)) {}
 
-  std::shared_ptr<Keeper> keeper;
+  std::shared_ptr<ActorState> actor_state;
   caf::actor_system system;
   caf::actor actor;
 };
@@ -117,10 +118,10 @@
                            std::string peers_address,
                            ControlSinks sinks) {
   const Duration heartbeat = settings.membership.heartbeat;
-  auto keeper = std::make_shared<Keeper>(
-      Keeper{ControlState(std::move(settings), std::move(incarnation), std::move(peers_address)),
-             std::move(sinks), heartbeat, TimePoint(), 0});
-  impl_ = std::make_unique<Impl>(std::move(keeper));
+  auto actor_state = std::make_shared<ActorState>(ActorState{
+      ControlState(std::move(settings), std::move(incarnation), std::move(peers_address)),
+      std::move(sinks), heartbeat, TimePoint(), 0});
+  impl_ = std::make_unique<Impl>(std::move(actor_state));
 }
 
 ControlActor::~ControlActor() {
--- a/src/rudderloom/control/control_shell.cpp
+++ b/src/rudderloom/control/control_shell.cpp
@@ -11,16 +11,16 @@
 
 namespace {
 
-constexpr Duration kTickEvery{100};
-constexpr Duration kPollLeast{500};
-constexpr Duration kPollTime{1'000};
-constexpr Duration kPollAgain{100};  // after a poll without an answer
-constexpr Duration kConfirmEvery{1'000};
-constexpr Duration kConfirmAfter{2'000};
-constexpr Duration kUnregisterTime{1'000};
-constexpr SettleTimes kPoolSettle{Duration(1'500), Duration(100)};
+constexpr Duration kTickInterval{100};
+constexpr Duration kMinPollInterval{500};
+constexpr Duration kPollTimeout{1'000};
+constexpr Duration kPollRetryDelay{100};  // delay after a poll without a response
+constexpr Duration kConfirmInterval{1'000};
+constexpr Duration kMaxTimeSinceContact{2'000};
+constexpr Duration kUnregisterTimeout{1'000};
+constexpr SettleTimes kPoolSettleTimes{Duration(1'500), Duration(100)};
 
-NodeState NodeOf(const StoredObject& object) {
+NodeState ParseNode(const StoredObject& object) {
   NodeState node;
   node.name = object.name;
   node.incarnation = TextAt(object.spec, "incarnation");
@@ -55,11 +55,11 @@
   asio::co_spawn(context_, PollLoop(), asio::detached);
   asio::co_spawn(context_, ConfirmLoop(), asio::detached);
   asio::co_spawn(context_, Register(), asio::detached);
-  WatchAll();
+  StartWatches();
 }
 
-void ControlShell::WatchAll() {
-  const auto on_configuration = [this](const StoredObject& object) { OfferConfiguration(object); };
+void ControlShell::StartWatches() {
+  const auto on_configuration = [this](const StoredObject& object) { PostConfiguration(object); };
   asio::co_spawn(context_,
                  WatchKind(
                      object_kind::kConfigurations,
@@ -104,7 +104,7 @@
                      [this, post_nodes](const ObjectList& list) {
                        listed_nodes_.clear();
                        for (const StoredObject& object : list.objects) {
-                         listed_nodes_[object.name] = NodeOf(object);
+                         listed_nodes_[object.name] = ParseNode(object);
                        }
                        post_nodes();
                      },
@@ -112,7 +112,7 @@
                        if (event.kind == WatchEvent::Kind::kGone) {
                          listed_nodes_.erase(event.object.name);
                        } else {
-                         listed_nodes_[event.object.name] = NodeOf(event.object);
+                         listed_nodes_[event.object.name] = ParseNode(event.object);
                        }
                        post_nodes();
                      }),
@@ -139,19 +139,19 @@
                  asio::detached);
 }
 
-void ControlShell::OfferConfiguration(const StoredObject& object) {
+void ControlShell::PostConfiguration(const StoredObject& object) {
   auto read = ConfigurationFromJson(object.spec);
   if (auto* configuration = std::get_if<Configuration>(&read)) {
     post_(message::ConfigurationSeen{
         std::make_shared<const Configuration>(std::move(*configuration))});
     return;
   }
-  // What is in force stays in force: a configuration that can't be read never replaces it.
+  // An invalid configuration never replaces the one in force.
   LogLine("configuration_unreadable", Severity::kError)
       .With("mistake", std::get<JsonErrors>(read).front().Text());
 }
 
-// Lists, then watches for ever: on from the last version while that is possible.
+// Lists the objects, then watches them. The watch resumes at the last version until that expires.
 Awaitable<void> ControlShell::WatchKind(std::string_view kind, OnList on_list, OnEvent on_event) {
   const std::string name(kind);
   Backoff backoff(settings_.platform.backoff_least, settings_.platform.backoff_most,
@@ -182,8 +182,8 @@
     if (ended.kind == StoreError::Kind::kExpired) {
       version.reset();
     }
-    const bool ordinary = ended.message.empty() && Now() - started > kConfirmEvery;
-    if (ordinary) {
+    const bool ended_normally = ended.message.empty() && Now() - started > kConfirmInterval;
+    if (ended_normally) {
       backoff.Reset();
       continue;
     }
@@ -211,36 +211,36 @@
 }
 
 Awaitable<void> ControlShell::Unregister() {
-  const TimePoint until = Now() + kUnregisterTime;
+  const TimePoint until = Now() + kUnregisterTimeout;
   while (Now() < until) {
-    auto gone = co_await store_.Delete(std::string(object_kind::kNodes), settings_.name);
-    const auto* error = std::get_if<StoreError>(&gone);
+    auto deleted = co_await store_.Delete(std::string(object_kind::kNodes), settings_.name);
+    const auto* error = std::get_if<StoreError>(&deleted);
     if (error == nullptr || error->kind == StoreError::Kind::kNotFound) {
       co_return;
     }
-    co_await PauseFor(context_, kTickEvery);
+    co_await PauseFor(context_, kTickInterval);
   }
 }
 
 Awaitable<void> ControlShell::TickLoop() {
   while (true) {
     post_(message::Tick{});
-    co_await PauseFor(context_, kTickEvery);
+    co_await PauseFor(context_, kTickInterval);
   }
 }
 
-// Alone with the platform, this node asks it often enough to notice a newer configuration.
+// Without other contact, polls the platform often enough to notice a newer configuration.
 Awaitable<void> ControlShell::ConfirmLoop() {
   while (true) {
-    co_await PauseFor(context_, kConfirmEvery);
-    if (contact_.Silence(Now()) < kConfirmAfter) {
+    co_await PauseFor(context_, kConfirmInterval);
+    if (contact_.TimeSinceContact(Now()) < kMaxTimeSinceContact) {
       continue;
     }
-    auto got = co_await store_.Get(std::string(object_kind::kConfigurations), "current");
-    if (auto* object = std::get_if<StoredObject>(&got)) {
+    auto fetched = co_await store_.Get(std::string(object_kind::kConfigurations), "current");
+    if (auto* object = std::get_if<StoredObject>(&fetched)) {
       contact_.Heard(Now());
-      OfferConfiguration(*object);
-    } else if (std::get<StoreError>(got).kind == StoreError::Kind::kNotFound) {
+      PostConfiguration(*object);
+    } else if (std::get<StoreError>(fetched).kind == StoreError::Kind::kNotFound) {
       contact_.Heard(Now());
     }
   }
@@ -250,17 +250,17 @@
   asio::post(context_, [this, report = std::move(report)] { report_ = report; });
 }
 
-// Asks the endpoints in turn, within the rate set for all of them together.
+// Polls the endpoints in turn, at the rate that is set for all endpoints together.
 Awaitable<void> ControlShell::PollLoop() {
-  const Duration between(1'000 / settings_.membership.polls_per_second);
+  const Duration poll_interval(1'000 / settings_.membership.polls_per_second);
   while (true) {
-    co_await PauseFor(context_, between);
+    co_await PauseFor(context_, poll_interval);
     if (!report_) {
       continue;
     }
     const TimePoint now = Now();
     const EndpointState* next = nullptr;
-    TimePoint oldest = now - kPollLeast;
+    TimePoint oldest = now - kMinPollInterval;
     for (const EndpointState& state : report_->endpoints) {
       const auto found = polled_at_.find(state.spec.name);
       const TimePoint polled = found == polled_at_.end() ? TimePoint() : found->second;
@@ -280,7 +280,7 @@
 
 Awaitable<void> ControlShell::Poll(std::string name, std::string address, bool service) {
   HttpRequest request = MakeRequest(http::verb::get, address, "/load");
-  const CallTimes times{kPollTime, kPollTime, kPollTime};
+  const CallTimes times{kPollTimeout, kPollTimeout, kPollTimeout};
   auto answer = co_await client_.Call(address, std::move(request), times, Reuse::kAllowed);
   message::EndpointPolled polled;
   polled.name = name;
@@ -289,13 +289,13 @@
     metrics_.Count({"rudderloom_control_bytes_total", "with", "endpoints"},
                    response->body().size());
     polled.report = ReportFromJson(response->body());
-    // A plain service need not know about load reports: any answer shows that it lives.
+    // Plain services may not support load reports, so any response shows that they are live.
     if (service && !polled.report) {
       polled.report = LoadReport();
     }
   }
   if (!polled.report) {
-    polled_at_[name] = Now() - kPollLeast + kPollAgain;
+    polled_at_[name] = Now() - kMinPollInterval + kPollRetryDelay;
   }
   post_(std::move(polled));
 }
@@ -304,9 +304,9 @@
   asio::post(context_, [this, effects = std::move(effects)]() mutable {
     for (PoolEffect& effect : effects) {
       if (auto* write = std::get_if<WritePool>(&effect)) {
-        asio::co_spawn(context_, Write(std::move(*write)), asio::detached);
+        asio::co_spawn(context_, WritePoolRecord(std::move(*write)), asio::detached);
       } else if (auto* read = std::get_if<ReadPool>(&effect)) {
-        asio::co_spawn(context_, Read(std::move(*read)), asio::detached);
+        asio::co_spawn(context_, ReadPoolRecord(std::move(*read)), asio::detached);
       } else if (auto* order = std::get_if<Order>(&effect)) {
         asio::co_spawn(context_, SendOrder(std::move(*order)), asio::detached);
       } else {
@@ -326,22 +326,23 @@
       .With("endpoint", move.endpoint);
 }
 
-Awaitable<void> ControlShell::Write(WritePool write) {
+Awaitable<void> ControlShell::WritePoolRecord(WritePool write) {
   StoredObject object;
   object.name = write.pool;
   object.version = write.version;
   object.writers = pool_writers_[write.pool];
   object.spec = ToJson(write.record);
-  const std::string token = incarnation_ + "/p" + std::to_string(++token_);
+  const std::string token = incarnation_ + "/p" + std::to_string(++write_count_);
   auto written = co_await PutSettled(context_, store_, std::string(object_kind::kPools),
-                                     std::move(object), token, kPoolSettle);
+                                     std::move(object), token, kPoolSettleTimes);
   message::PoolCallEnded ended;
   ended.pool = write.pool;
   const auto* stored = std::get_if<StoredObject>(&written);
-  // A lost answer may be settled so late that another holder has written since: read again then.
-  const bool ours =
+  // If the response was lost, another lease holder may have written the object before this write
+  // was confirmed. The pool must then be read again.
+  const bool is_latest_writer =
       stored != nullptr && (stored->writers.empty() || stored->writers.front() == token);
-  if (ours) {
+  if (is_latest_writer) {
     contact_.Heard(Now());
     pool_writers_[write.pool] = stored->writers;
     ended.result = message::PoolCallEnded::Result::kWritten;
@@ -355,16 +356,16 @@
   post_(std::move(ended));
 }
 
-Awaitable<void> ControlShell::Read(ReadPool read) {
-  auto got = co_await store_.Get(std::string(object_kind::kPools), read.pool);
-  if (auto* object = std::get_if<StoredObject>(&got)) {
+Awaitable<void> ControlShell::ReadPoolRecord(ReadPool read) {
+  auto fetched = co_await store_.Get(std::string(object_kind::kPools), read.pool);
+  if (auto* object = std::get_if<StoredObject>(&fetched)) {
     if (auto record = PoolRecordFromJson(object->spec)) {
       pool_writers_[read.pool] = object->writers;
       post_(message::PoolSeen{read.pool, std::move(*record), object->version, PoolSight::kRead});
       co_return;
     }
     LogLine("pool_record_unreadable", Severity::kError).With("pool", read.pool);
-  } else if (std::get<StoreError>(got).kind == StoreError::Kind::kNotFound) {
+  } else if (std::get<StoreError>(fetched).kind == StoreError::Kind::kNotFound) {
     post_(message::PoolSeen{read.pool, PoolRecord(), std::nullopt, PoolSight::kRead});
     co_return;
   }
--- a/src/rudderloom/control/control_state.cpp
+++ b/src/rudderloom/control/control_state.cpp
@@ -9,8 +9,8 @@
 namespace {
 
 constexpr double kDemandSmoothingMs = 2'000.0;
-constexpr double kLeastDemand = 0.05;
-constexpr std::size_t kDigestsPerBeat = 24;
+constexpr double kMinDemand = 0.05;
+constexpr std::size_t kDigestsPerHeartbeat = 24;
 
 std::string UnitName(const std::string& name, const std::string& version) {
   return name + "@" + version;
@@ -31,8 +31,8 @@
   std::visit([&](const auto& message) { On(message, now); }, any);
   if (std::holds_alternative<message::Tick>(any)) {
     for (auto& [pool, keeper] : keepers_) {
-      PoolEffects more = keeper.Tick(ViewOf(pool, now, unix_seconds), now);
-      std::move(more.begin(), more.end(), std::back_inserter(effects.pool));
+      PoolEffects pool_effects = keeper.Tick(BuildPoolView(pool, now, unix_seconds), now);
+      std::move(pool_effects.begin(), pool_effects.end(), std::back_inserter(effects.pool));
     }
   }
   if (dirty_) {
@@ -68,12 +68,12 @@
 }
 
 void ControlState::On(const message::PoolSeen& seen, TimePoint now) {
-  KeeperOf(seen.pool).Seen(seen.record, seen.version, seen.sight, now);
+  FindOrCreateKeeper(seen.pool).Seen(seen.record, seen.version, seen.sight, now);
   dirty_ = true;
 }
 
 void ControlState::On(const message::PoolCallEnded& ended, TimePoint now) {
-  PoolKeeper& keeper = KeeperOf(ended.pool);
+  PoolKeeper& keeper = FindOrCreateKeeper(ended.pool);
   switch (ended.result) {
     case message::PoolCallEnded::Result::kWritten:
       keeper.Written(ended.version, now);
@@ -89,13 +89,13 @@
 }
 
 void ControlState::On(const message::OrderEnded& ended, TimePoint now) {
-  KeeperOf(ended.order.pool).OrderEnded(ended.order, ended.outcome, now);
+  FindOrCreateKeeper(ended.order.pool).OrderEnded(ended.order, ended.outcome, now);
 }
 
 void ControlState::On(const message::EndpointPolled& polled, TimePoint now) {
   const auto found = endpoints_.Endpoints().find(polled.name);
   if (found == endpoints_.Endpoints().end() || found->second.spec.address != polled.address) {
-    return;  // the answer of a process that stood there before
+    return;  // response of a previous endpoint with this name
   }
   const bool was_usable = EndpointTable::Usable(found->second);
   const LoadReport before = found->second.report;
@@ -110,7 +110,7 @@
   dirty_ = dirty_ || changed;
 }
 
-void ControlState::On(const message::PeerHeard& heard, TimePoint now) {
+void ControlState::On(const message::HeartbeatReceived& heard, TimePoint now) {
   members_.Heard(heard.state, now);
   for (const NodeDigest& digest : heard.digests) {
     members_.HeardOf(digest, now);
@@ -118,17 +118,17 @@
   for (const std::string& leaving : heard.state.leaving) {
     endpoints_.SaidLeaving(leaving);
   }
-  TakeCrashNews(heard.state.crash_news, now);
-  dirty_ = true;  // what the others have in flight changed
+  MergeCrashNews(heard.state.crash_news, now);
+  dirty_ = true;  // the in-flight counts of a peer may have changed
 }
 
-void ControlState::On(const message::LeavingSaid& said, TimePoint) {
+void ControlState::On(const message::EndpointAnnouncedLeaving& said, TimePoint) {
   dirty_ = endpoints_.SaidLeaving(said.endpoint_and_incarnation) || dirty_;
 }
 
-// Every node counts by itself, and passes on what was new to it: what others have passed on already
-// is new to nobody, so news die out.
-void ControlState::TakeCrashNews(const CrashNews& news, TimePoint now) {
+// Each node counts crashes itself and forwards only news that it did not know. News that all nodes
+// know is no longer forwarded.
+void ControlState::MergeCrashNews(const CrashNews& news, TimePoint now) {
   if (!news.Empty() && crash_book_.Take(news, now)) {
     news_log_.Add(news, now);
     dirty_ = true;
@@ -136,7 +136,7 @@
 }
 
 void ControlState::On(const message::TrafficSampled& sampled, TimePoint now) {
-  TakeCrashNews(sampled.crash_news, now);
+  MergeCrashNews(sampled.crash_news, now);
   in_flight_ = sampled.in_flight;
   demand_ = sampled.demand;
 }
@@ -149,7 +149,7 @@
   }
   for (const auto& [name, state] : endpoints_.Endpoints()) {
     if (state.spec.service.empty()) {
-      KeeperOf(state.spec.pool);
+      FindOrCreateKeeper(state.spec.pool);
     }
   }
 }
@@ -161,7 +161,7 @@
   }
 }
 
-PoolKeeper& ControlState::KeeperOf(const std::string& pool) {
+PoolKeeper& ControlState::FindOrCreateKeeper(const std::string& pool) {
   const auto [found, is_new] =
       keepers_.try_emplace(pool, settings_.name, incarnation_, pool, settings_.residency);
   if (is_new && stopping_) {
@@ -174,27 +174,27 @@
   const double passed = std::chrono::duration<double, std::milli>(now - smoothed_at_).count();
   smoothed_at_ = now;
   const double weight = 1.0 - std::exp(-passed / kDemandSmoothingMs);
-  std::map<std::string, double> present;
+  std::map<std::string, double> current_demand;
   for (const auto& [name, count] : demand_) {
-    present[name] += count;
+    current_demand[name] += count;
   }
   for (const Member* member : members_.Live(now)) {
     for (const auto& [name, count] : member->state.demand) {
-      present[name] += count;
+      current_demand[name] += count;
     }
   }
-  for (const auto& [name, count] : present) {
+  for (const auto& [name, count] : current_demand) {
     smooth_demand_.try_emplace(name, 0.0);
   }
   for (auto& [name, value] : smooth_demand_) {
-    const auto found = present.find(name);
-    value += weight * ((found == present.end() ? 0.0 : found->second) - value);
+    const auto found = current_demand.find(name);
+    value += weight * ((found == current_demand.end() ? 0.0 : found->second) - value);
   }
-  std::erase_if(smooth_demand_, [](const auto& entry) { return entry.second < kLeastDemand; });
+  std::erase_if(smooth_demand_, [](const auto& entry) { return entry.second < kMinDemand; });
 }
 
-std::vector<WantedUnit> ControlState::WantedIn(const std::string& pool,
-                                               std::int64_t unix_seconds) const {
+std::vector<WantedUnit> ControlState::ListWantedUnits(const std::string& pool,
+                                                      std::int64_t unix_seconds) const {
   const Catalog& catalog = configuration_.InForce()->catalog;
   std::map<std::string, std::int64_t> event_copies;
   for (const auto& [name, event] : catalog.events) {
@@ -232,10 +232,12 @@
   return wanted;
 }
 
-PoolView ControlState::ViewOf(const std::string& pool, TimePoint now, std::int64_t unix_seconds) {
+PoolView ControlState::BuildPoolView(const std::string& pool,
+                                     TimePoint now,
+                                     std::int64_t unix_seconds) {
   PoolView view;
   view.listed = endpoints_listed_;
-  view.wanted = WantedIn(pool, unix_seconds);
+  view.wanted = ListWantedUnits(pool, unix_seconds);
   for (const auto& [name, state] : endpoints_.Endpoints()) {
     if (state.spec.pool != pool || !state.spec.service.empty()) {
       continue;
@@ -246,11 +248,11 @@
     endpoint.availability_zone = state.spec.availability_zone;
     endpoint.memory = state.spec.memory;
     endpoint.checks_fences = state.spec.checks_fences;
-    endpoint.usable = Routable(state);
+    endpoint.usable = IsRoutable(state);
     endpoint.slots = state.spec.slots;
-    const auto here = in_flight_.find(name);
-    const double all = (here == in_flight_.end() ? 0 : here->second) + OthersInFlight(name, now);
-    endpoint.load = all / endpoint.slots;
+    const auto own = in_flight_.find(name);
+    const double total = (own == in_flight_.end() ? 0 : own->second) + OthersInFlight(name, now);
+    endpoint.load = total / endpoint.slots;
     endpoint.used = state.report.used;
     endpoint.reported_at = state.reported_at;
     endpoint.resident = state.report.resident;
@@ -282,13 +284,13 @@
   return count;
 }
 
-bool ControlState::Routable(const EndpointState& state) const {
+bool ControlState::IsRoutable(const EndpointState& state) const {
   return EndpointTable::Usable(state) &&
          !configuration_.InForce()->drained.contains(state.spec.name);
 }
 
-// The state of a unit in the record of the endpoint's pool; empty when it isn't there.
-std::optional<UnitState> ControlState::StateOnRecord(const EndpointState& endpoint,
+// Returns the state of a unit in the pool record; empty if the unit is not recorded.
+std::optional<UnitState> ControlState::RecordedState(const EndpointState& endpoint,
                                                      const std::string& unit) const {
   const auto keeper = keepers_.find(endpoint.spec.pool);
   if (keeper == keepers_.end()) {
@@ -299,17 +301,17 @@
   return found == reservations.end() ? std::nullopt : std::optional(found->second.state);
 }
 
-// True when the pool's holder is taking the unit away from this endpoint.
-bool ControlState::Withdrawn(const EndpointState& endpoint, const std::string& unit) const {
-  const auto state = StateOnRecord(endpoint, unit);
+// Whether the lease holder of the pool is unloading the unit from this endpoint.
+bool ControlState::IsBeingUnloaded(const EndpointState& endpoint, const std::string& unit) const {
+  const auto state = RecordedState(endpoint, unit);
   return state == UnitState::kUnloading || state == UnitState::kLingering;
 }
 
-void ControlState::AddServing(Snapshot& snapshot,
-                              std::map<std::string, ServingSet>& sets,
-                              const std::string& name,
-                              const std::string& unit,
-                              const std::vector<std::uint32_t>& endpoints) const {
+void ControlState::AddServingSet(Snapshot& snapshot,
+                                 std::map<std::string, ServingSet>& sets,
+                                 const std::string& name,
+                                 const std::string& unit,
+                                 const std::vector<std::uint32_t>& endpoints) const {
   ServingSet set;
   set.unit = unit;
   set.endpoints = endpoints;
@@ -322,15 +324,17 @@
     }
   }
   const auto last = last_models_.find(name);
-  const bool same = last != last_models_.end() && last->second.endpoints == endpoints;
-  set.affinity = same ? last->second.affinity : BuildAffinity(names);
+  const bool endpoints_unchanged =
+      last != last_models_.end() && last->second.endpoints == endpoints;
+  set.affinity = endpoints_unchanged ? last->second.affinity : BuildAffinity(names);
   sets[name] = std::move(set);
 }
 
-// The endpoints that hold the declared version; while none does, those with any other version.
-void ControlState::AddUnit(Snapshot& snapshot,
-                           const std::string& name,
-                           const std::string& unit) const {
+// Adds the endpoints that have the declared version loaded or, if there are none, those with the
+// greatest version name among the others.
+void ControlState::AddServingUnit(Snapshot& snapshot,
+                                  const std::string& name,
+                                  const std::string& unit) const {
   std::vector<std::uint32_t> declared;
   std::vector<std::uint32_t> recorded;
   std::map<std::string, std::vector<std::uint32_t>> others;
@@ -340,24 +344,24 @@
     const auto& resident = state.report.resident;
     for (auto held = resident.lower_bound(prefix);
          held != resident.end() && held->starts_with(prefix); ++held) {
-      if (!Withdrawn(state, *held)) {
+      if (!IsBeingUnloaded(state, *held)) {
         (*held == unit ? declared : others[*held]).push_back(i);
       }
     }
-    if (StateOnRecord(state, unit) == UnitState::kResident) {
+    if (RecordedState(state, unit) == UnitState::kResident) {
       recorded.push_back(i);
     }
   }
   if (declared.empty()) {
-    // A load just confirmed to the pool's holder, which the lagging reports don't show yet.
+    // The load was just confirmed to the lease holder and is not yet in the endpoint reports.
     declared = recorded;
   }
   if (declared.empty() && !others.empty()) {
     const auto newest = std::prev(others.end());
-    AddServing(snapshot, snapshot.models, name, newest->first, newest->second);
+    AddServingSet(snapshot, snapshot.models, name, newest->first, newest->second);
     return;
   }
-  AddServing(snapshot, snapshot.models, name, unit, declared);
+  AddServingSet(snapshot, snapshot.models, name, unit, declared);
 }
 
 SnapshotPtr ControlState::MakeSnapshot(TimePoint now) {
@@ -367,7 +371,7 @@
   snapshot->ready = endpoints_listed_ && snapshot->configuration->generation > 0;
   std::map<std::string, std::vector<std::uint32_t>> by_service;
   for (const auto& [name, state] : endpoints_.Endpoints()) {
-    if (!Routable(state)) {
+    if (!IsRoutable(state)) {
       continue;
     }
     EndpointView view;
@@ -386,13 +390,13 @@
   }
   const Catalog& catalog = snapshot->configuration->catalog;
   for (const auto& [name, model] : catalog.models) {
-    AddUnit(*snapshot, name, UnitName(name, model.version));
+    AddServingUnit(*snapshot, name, UnitName(name, model.version));
   }
   for (const auto& [name, adapter] : catalog.adapters) {
-    AddUnit(*snapshot, name, UnitName(name, adapter.version));
+    AddServingUnit(*snapshot, name, UnitName(name, adapter.version));
   }
   for (const auto& [name, service] : catalog.services) {
-    AddServing(*snapshot, snapshot->services, name, "", by_service[name]);
+    AddServingSet(*snapshot, snapshot->services, name, "", by_service[name]);
   }
   if (!crash_book_.Empty()) {
     snapshot->quarantine = std::make_shared<const QuarantineList>(crash_book_.List());
@@ -405,9 +409,9 @@
   auto report = std::make_shared<NodeReport>();
   NodeState& self = report->self;
   if (next_round) {
-    ++beat_;
+    ++heartbeat_count_;
     targets_ = members_.NextTargets();
-    digests_ = members_.FreshDigests(kDigestsPerBeat);
+    digests_ = members_.FreshDigests(kDigestsPerHeartbeat);
   }
   report->targets = targets_;
   report->digests = digests_;
@@ -415,7 +419,7 @@
   self.incarnation = incarnation_;
   self.peers_address = peers_address_;
   self.availability_zone = settings_.availability_zone;
-  self.beat = beat_;
+  self.beat = heartbeat_count_;
   self.generation = configuration_.InForce()->generation;
   self.stopping = stopping_;
   self.leaving = endpoints_.Leaving();
--- a/src/rudderloom/control/order_sender.cpp
+++ b/src/rudderloom/control/order_sender.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-OrderOutcome OutcomeOf(unsigned status) {
+OrderOutcome ToOutcome(unsigned status) {
   switch (status) {
     case 200:
       return OrderOutcome::kDone;
@@ -53,8 +53,8 @@
   HttpRequest request =
       MakeRequest(http::verb::post, order.address, "/orders", json::serialize(body));
   CallTimes times;
-  times.first_byte = order_time_;
-  // The lease may have passed on while this order waited for its turn.
+  times.first_byte = order_timeout_;
+  // The lease may have changed hands while the order was queued.
   if (Now() >= order.valid_until) {
     co_return OrderOutcome::kNotSent;
   }
@@ -62,7 +62,7 @@
   if (auto* failure = std::get_if<HttpFailure>(&answer)) {
     co_return failure->may_have_left ? OrderOutcome::kUnknown : OrderOutcome::kNotSent;
   }
-  co_return OutcomeOf(std::get<HttpResponse>(answer).result_int());
+  co_return ToOutcome(std::get<HttpResponse>(answer).result_int());
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/peers/changes_codec.hpp
+++ b/src/rudderloom/peers/changes_codec.hpp
@@ -1,4 +1,4 @@
-// Between the changes of any log and their Cap'n Proto messages.
+// Converts the changes of a change log to and from Cap'n Proto messages.
 #ifndef RUDDERLOOM_PEERS_CHANGES_CODEC_HPP
 #define RUDDERLOOM_PEERS_CHANGES_CODEC_HPP
 
@@ -9,7 +9,7 @@
 
 namespace rudderloom {
 
-/// @brief A revision from its two fields; a node that knows of no eras gives one below 0.
+/// @brief Builds a revision. Nodes without support for eras send a negative era.
 inline StoreRevision ReadRevision(std::uint64_t number, std::int64_t era) {
   return {era < 0 ? 0 : static_cast<std::uint64_t>(era), number};
 }
@@ -35,7 +35,7 @@
   version = ReadRevision(in.getVersion(), in.getEra());
 }
 
-/// @brief Writes changes; `write_entry` writes one key and value.
+/// @brief Writes changes. `write_entry` writes a pair of key and value.
 template <class Value, class Version, class Builder, class WriteEntry>
 void WriteChanges(const Changes<Value, Version>& changes, Builder out, WriteEntry write_entry) {
   WriteVersion(changes.version, out);
@@ -50,7 +50,7 @@
   }
 }
 
-/// @brief Reads changes; `read_entry` gives one key and value.
+/// @brief Reads changes. `read_entry` returns a pair of key and value.
 template <class Value, class Version = std::uint64_t, class Reader, class ReadEntry>
 Changes<Value, Version> ReadChanges(Reader in, ReadEntry read_entry) {
   Changes<Value, Version> changes;
--- a/src/rudderloom/peers/configuration_codec.cpp
+++ b/src/rudderloom/peers/configuration_codec.cpp
@@ -22,7 +22,7 @@
   return rpc::RouteKind::ONCE;
 }
 
-// A kind that this version does not know is not repeated.
+// Unknown kinds, sent by a newer version, are not repeatable.
 RouteKind FromRpc(rpc::RouteKind kind) {
   switch (kind) {
     case rpc::RouteKind::REPEATABLE:
--- a/src/rudderloom/peers/configuration_codec.hpp
+++ b/src/rudderloom/peers/configuration_codec.hpp
@@ -1,4 +1,4 @@
-// Between a configuration's changes and their Cap'n Proto messages.
+// Converts configuration changes to and from Cap'n Proto messages.
 #ifndef RUDDERLOOM_PEERS_CONFIGURATION_CODEC_HPP
 #define RUDDERLOOM_PEERS_CONFIGURATION_CODEC_HPP
 
--- a/src/rudderloom/peers/crash_codec.cpp
+++ b/src/rudderloom/peers/crash_codec.cpp
@@ -4,7 +4,7 @@
 
 namespace rudderloom {
 
-capnp::Data::Reader DataOf(const RequestDigest& digest) {
+capnp::Data::Reader ToData(const RequestDigest& digest) {
   return {digest.bytes.data(), digest.bytes.size()};
 }
 
@@ -22,13 +22,13 @@
   unsigned index = 0;
   for (const RequestCrash& crash : news.crashes) {
     auto entry = crashes[index++];
-    entry.setRequest(DataOf(crash.request));
+    entry.setRequest(ToData(crash.request));
     entry.setEndpoint(crash.endpoint);
   }
   auto cleared = out.initCleared(news.cleared.size());
   index = 0;
   for (const RequestDigest& request : news.cleared) {
-    cleared.set(index++, DataOf(request));
+    cleared.set(index++, ToData(request));
   }
 }
 
--- a/src/rudderloom/peers/crash_codec.hpp
+++ b/src/rudderloom/peers/crash_codec.hpp
@@ -1,4 +1,4 @@
-// News of crashes, in Cap'n Proto's words and back.
+// Converts crash news to and from Cap'n Proto messages.
 #ifndef RUDDERLOOM_PEERS_CRASH_CODEC_HPP
 #define RUDDERLOOM_PEERS_CRASH_CODEC_HPP
 
@@ -9,10 +9,10 @@
 
 namespace rudderloom {
 
-// The digest's bytes; valid as long as the digest.
-capnp::Data::Reader DataOf(const RequestDigest& digest);
+// Returns a view of the digest's bytes, valid for the lifetime of the digest.
+capnp::Data::Reader ToData(const RequestDigest& digest);
 
-// Empty when another version of the program tells digests of another size.
+// Returns empty if the size differs, as digests of another program version may.
 std::optional<RequestDigest> ReadRequestDigest(capnp::Data::Reader in);
 
 void WriteNews(const CrashNews& news, rpc::CrashNews::Builder out);
--- a/src/rudderloom/peers/fleet_codec.cpp
+++ b/src/rudderloom/peers/fleet_codec.cpp
@@ -19,7 +19,7 @@
 constexpr std::uint64_t kTokenUnit = 64;
 
 template <class Number>
-Number Clamped(std::uint64_t value) {
+Number ClampTo(std::uint64_t value) {
   return static_cast<Number>(std::min<std::uint64_t>(value, std::numeric_limits<Number>::max()));
 }
 
@@ -28,10 +28,10 @@
   for (const auto& [endpoint, load] : loads) {
     auto entry = out[index++];
     entry.setEndpoint(endpoint);
-    entry.setRequests(Clamped<std::uint8_t>(load.requests));
-    entry.setDeferred(Clamped<std::uint8_t>(load.deferred));
+    entry.setRequests(ClampTo<std::uint8_t>(load.requests));
+    entry.setDeferred(ClampTo<std::uint8_t>(load.deferred));
     entry.setUnreadTokenUnits(
-        Clamped<std::uint16_t>((load.unread_tokens + kTokenUnit - 1) / kTokenUnit));
+        ClampTo<std::uint16_t>((load.unread_tokens + kTokenUnit - 1) / kTokenUnit));
   }
 }
 
@@ -114,22 +114,22 @@
   return {in.getInstance().cStr(), ReadModels(in.getModels())};
 }
 
-void WriteTexts(const std::vector<std::string>& texts, capnp::List<capnp::Text>::Builder out) {
-  for (unsigned i = 0; i < texts.size(); ++i) {
-    out.set(i, texts[i]);
+void WriteStrings(const std::vector<std::string>& strings, capnp::List<capnp::Text>::Builder out) {
+  for (unsigned i = 0; i < strings.size(); ++i) {
+    out.set(i, strings[i]);
   }
 }
 
-std::vector<std::string> ReadTexts(capnp::List<capnp::Text>::Reader in) {
-  std::vector<std::string> texts;
+std::vector<std::string> ReadStrings(capnp::List<capnp::Text>::Reader in) {
+  std::vector<std::string> strings;
   for (const auto text : in) {
-    texts.emplace_back(text.cStr());
+    strings.emplace_back(text.cStr());
   }
-  return texts;
+  return strings;
 }
 
-// Names and lists of names are mostly pointers and padding, which packing takes out: without it the
-// changes took up to 13 Mbit/s of a holder's link beside 85 nodes.
+// Messages with many names consist mostly of pointers and padding, which packing removes. Unpacked
+// changes took up to 13 Mbit/s of a lease holder's link with 85 other nodes.
 void WritePacked(const HolderDigest& digest, rpc::Digest::Builder out) {
   capnp::MallocMessageBuilder message;
   auto changes = message.initRoot<rpc::DigestChanges>();
@@ -193,15 +193,15 @@
 void WriteLimits(std::uint64_t version,
                  const SentLimits& limits,
                  rpc::EndpointLimits::Builder out) {
-  constexpr double kEnded = -1.0;
+  constexpr double kNoLimit = -1.0;
   out.setVersion(version);
   auto entries = out.initLimits(limits.size());
   unsigned index = 0;
   for (const auto& [endpoint, limit] : limits) {
     auto entry = entries[index++];
     entry.setEndpoint(endpoint);
-    entry.setAgeMs(Clamped<std::uint32_t>(static_cast<std::uint64_t>(limit.age.count())));
-    entry.setRequestsPerSecond(limit.requests_per_second.value_or(kEnded));
+    entry.setAgeMs(ClampTo<std::uint32_t>(static_cast<std::uint64_t>(limit.age.count())));
+    entry.setRequestsPerSecond(limit.requests_per_second.value_or(kNoLimit));
   }
 }
 
@@ -228,7 +228,7 @@
   out.setAddress(counts.address);
   out.setAvailabilityZone(counts.availability_zone);
   out.setStandsFor(counts.stands_for);
-  WriteTexts(counts.avoided_relays, out.initAvoidedRelays(counts.avoided_relays.size()));
+  WriteStrings(counts.avoided_relays, out.initAvoidedRelays(counts.avoided_relays.size()));
   WriteLoads(counts.loads, out.initLoads(counts.loads.size()));
   out.setReportNumber(counts.report_number);
   WriteSpending(counts.spending, out.initSpending(counts.spending.size()));
@@ -264,7 +264,7 @@
   counts.address = in.getAddress().cStr();
   counts.availability_zone = in.getAvailabilityZone().cStr();
   counts.stands_for = in.getStandsFor();
-  counts.avoided_relays = ReadTexts(in.getAvoidedRelays());
+  counts.avoided_relays = ReadStrings(in.getAvoidedRelays());
   counts.loads = ReadLoads(in.getLoads());
   counts.report_number = in.getReportNumber();
   counts.spending = ReadSpending(in.getSpending());
@@ -298,7 +298,7 @@
   out.setRelayPauseMs(static_cast<std::uint32_t>(digest.relay_pause.count()));
   out.setRoutesVersion(digest.routes_version);
   out.setStandby(digest.standby);
-  WriteTexts(digest.standby_addresses, out.initStandbyAddresses(digest.standby_addresses.size()));
+  WriteStrings(digest.standby_addresses, out.initStandbyAddresses(digest.standby_addresses.size()));
   out.setRenewalsFail(digest.renewals_fail);
   out.setTellsConfiguration(digest.tells_configuration);
   WriteLoads(digest.loads, out.initLoads(digest.loads.size()));
@@ -333,7 +333,7 @@
   digest.relay_pause = Duration(in.getRelayPauseMs());
   digest.routes_version = in.getRoutesVersion();
   digest.standby = in.getStandby();
-  digest.standby_addresses = ReadTexts(in.getStandbyAddresses());
+  digest.standby_addresses = ReadStrings(in.getStandbyAddresses());
   digest.renewals_fail = in.getRenewalsFail();
   digest.tells_configuration = in.getTellsConfiguration();
   digest.loads = ReadLoads(in.getLoads());
@@ -370,10 +370,10 @@
       out.setVerdict(rpc::SpendVerdict::REFUSED);
       break;
   }
-  out.setWaitMs(Clamped<std::uint32_t>(static_cast<std::uint64_t>(answer.wait.count())));
+  out.setWaitMs(ClampTo<std::uint32_t>(static_cast<std::uint64_t>(answer.wait.count())));
 }
 
-// A verdict that this version does not know leaves the node to decide.
+// With an unknown verdict, sent by a newer version, the node decides itself.
 SpendAnswer Read(rpc::PlacementHolder::SpendResults::Reader in) {
   SpendAnswer answer;
   answer.wait = Duration(in.getWaitMs());
@@ -397,10 +397,10 @@
       out.setVerdict(rpc::PermitVerdict::REFUSED);
       break;
   }
-  out.setWaitMs(Clamped<std::uint32_t>(static_cast<std::uint64_t>(answer.wait.count())));
+  out.setWaitMs(ClampTo<std::uint32_t>(static_cast<std::uint64_t>(answer.wait.count())));
 }
 
-// A verdict that this version does not know grants nothing.
+// An unknown verdict, sent by a newer version, is not a grant.
 PermitAnswer Read(rpc::PlacementHolder::PermitResults::Reader in) {
   PermitAnswer answer;
   answer.wait = Duration(in.getWaitMs());
--- a/src/rudderloom/peers/fleet_codec.hpp
+++ b/src/rudderloom/peers/fleet_codec.hpp
@@ -1,4 +1,4 @@
-// Between the placement's types and their Cap'n Proto messages.
+// Converts placement types to and from Cap'n Proto messages.
 #ifndef RUDDERLOOM_PEERS_FLEET_CODEC_HPP
 #define RUDDERLOOM_PEERS_FLEET_CODEC_HPP
 
--- a/src/rudderloom/peers/fleet_codec_test.cpp
+++ b/src/rudderloom/peers/fleet_codec_test.cpp
@@ -6,8 +6,8 @@
 namespace rudderloom {
 namespace {
 
-// What a holder tells after `endpoints` engines have changed.
-HolderDigest DigestOf(int endpoints) {
+// Returns the digest of a lease holder after changes of this many endpoints.
+HolderDigest MakeDigest(int endpoints) {
   HolderDigest digest;
   digest.holds = true;
   digest.epoch = 3;
@@ -38,23 +38,23 @@
   return digest;
 }
 
-TEST_CASE("a digest comes through whole") {
-  const HolderDigest told = DigestOf(20);
+TEST_CASE("a digest is unchanged after encoding and decoding") {
+  const HolderDigest original = MakeDigest(20);
   capnp::MallocMessageBuilder message;
-  Write(told, message.initRoot<rpc::Digest>());
-  const HolderDigest heard = Read(message.getRoot<rpc::Digest>().asReader());
-  CHECK(heard.serving.version == told.serving.version);
-  CHECK(heard.serving.values == told.serving.values);
-  CHECK(heard.serving.gone == told.serving.gone);
-  CHECK_FALSE(heard.serving.whole);
-  CHECK(heard.endpoints.version == told.endpoints.version);
-  CHECK(heard.endpoints.whole);
-  CHECK(heard.endpoints.values == told.endpoints.values);
-  CHECK(heard.endpoints_age == told.endpoints_age);
-  CHECK(heard.loads_due == told.loads_due);
+  Write(original, message.initRoot<rpc::Digest>());
+  const HolderDigest decoded = Read(message.getRoot<rpc::Digest>().asReader());
+  CHECK(decoded.serving.version == original.serving.version);
+  CHECK(decoded.serving.values == original.serving.values);
+  CHECK(decoded.serving.gone == original.serving.gone);
+  CHECK_FALSE(decoded.serving.whole);
+  CHECK(decoded.endpoints.version == original.endpoints.version);
+  CHECK(decoded.endpoints.whole);
+  CHECK(decoded.endpoints.values == original.endpoints.values);
+  CHECK(decoded.endpoints_age == original.endpoints_age);
+  CHECK(decoded.loads_due == original.loads_due);
 }
 
-// A configuration of `count` routes and a service with an engine.
+// Returns a configuration with `count` routes and two services, one of them with an engine.
 RouteTablePtr MakeTable(std::uint64_t version, int count) {
   std::vector<Route> routes;
   for (int i = 0; i < count; ++i) {
@@ -94,37 +94,38 @@
   limited.keys = {rudderloom::DigestOf("key-1"), rudderloom::DigestOf("key-2")};
   limited.priority = 3;
   limited.quota = {QuotaUnit::kTokens, 626'220, 626'220, 200};
-  Customer open;
-  open.name = "member-b";
-  open.keys = {rudderloom::DigestOf("key-3")};
+  Customer unlimited;
+  unlimited.name = "member-b";
+  unlimited.keys = {rudderloom::DigestOf("key-3")};
   return std::make_shared<const RouteTable>(version, routes, std::vector{pool, desk}, limits,
-                                            Callers{true, {limited, open}});
+                                            Callers{true, {limited, unlimited}});
 }
 
-// Bytes of a digest with what a node lacks that has configuration `seen`; that node takes it.
-std::size_t Tell(const ConfigurationLog& from, ConfigurationLog& to) {
-  HolderDigest told;
-  told.holds = true;
-  told.tells_configuration = true;
-  told.configuration = from.Since(to.Version());
-  told.configuration_age = Duration(70);
-  told.relay_pause = Duration(160);
+// Sends the configuration changes that `to` lacks in an encoded digest and applies them. Returns
+// the size of the message in bytes.
+std::size_t SendChanges(const ConfigurationLog& from, ConfigurationLog& to) {
+  HolderDigest original;
+  original.holds = true;
+  original.tells_configuration = true;
+  original.configuration = from.Since(to.Version());
+  original.configuration_age = Duration(70);
+  original.relay_pause = Duration(160);
   capnp::MallocMessageBuilder message;
-  Write(told, message.initRoot<rpc::Digest>());
-  const HolderDigest heard = Read(message.getRoot<rpc::Digest>().asReader());
-  CHECK(heard.configuration_age == told.configuration_age);
-  CHECK(heard.tells_configuration);
-  CHECK(heard.relay_pause == told.relay_pause);
-  CHECK(to.Apply(heard.configuration));
+  Write(original, message.initRoot<rpc::Digest>());
+  const HolderDigest decoded = Read(message.getRoot<rpc::Digest>().asReader());
+  CHECK(decoded.configuration_age == original.configuration_age);
+  CHECK(decoded.tells_configuration);
+  CHECK(decoded.relay_pause == original.relay_pause);
+  CHECK(to.Apply(decoded.configuration));
   return message.sizeInWords() * sizeof(capnp::word);
 }
 
-TEST_CASE("a configuration comes through whole, and later what changed in it") {
+TEST_CASE("a digest transfers a full configuration and later only the changed parts") {
   constexpr int kRoutes = 2'000;
   ConfigurationLog holder;
   ConfigurationLog node;
   holder.Offer(MakeTable(3, kRoutes));
-  const std::size_t whole = Tell(holder, node);
+  const std::size_t full_bytes = SendChanges(holder, node);
   std::vector<Route> routes = holder.Current()->Routes();
   for (std::size_t i = 0; i < 10; ++i) {
     routes[i * 7].timeout = Duration(900);
@@ -139,10 +140,10 @@
   customers[0].keys.pop_back();
   holder.Offer(std::make_shared<const RouteTable>(8, routes, services, ClientLimits{},
                                                   Callers{true, customers}));
-  const std::size_t changes = Tell(holder, node);
-  MESSAGE("bytes: whole ", whole, ", ten changed routes ", changes);
-  CHECK(whole / kRoutes <= 150);
-  CHECK(changes <= 2'500);
+  const std::size_t change_bytes = SendChanges(holder, node);
+  MESSAGE("bytes: full configuration ", full_bytes, ", ten changed routes ", change_bytes);
+  CHECK(full_bytes / kRoutes <= 150);
+  CHECK(change_bytes <= 2'500);
   CHECK(node.Version() == 8);
   CHECK(node.Current()->Routes().size() == kRoutes);
   CHECK(node.Current()->Services() == holder.Current()->Services());
@@ -156,22 +157,22 @@
   }
 }
 
-TEST_CASE("a digest without changes, as of a node that holds no lease, comes through") {
+TEST_CASE("a digest without changes, from a node that holds no lease, can be decoded") {
   capnp::MallocMessageBuilder message;
   Write(HolderDigest(), message.initRoot<rpc::Digest>());
-  const HolderDigest heard = Read(message.getRoot<rpc::Digest>().asReader());
-  CHECK_FALSE(heard.holds);
-  CHECK(heard.serving.values.empty());
-  CHECK(heard.endpoints.values.empty());
+  const HolderDigest decoded = Read(message.getRoot<rpc::Digest>().asReader());
+  CHECK_FALSE(decoded.holds);
+  CHECK(decoded.serving.values.empty());
+  CHECK(decoded.endpoints.values.empty());
 }
 
-TEST_CASE("what a holder tells of a changed engine takes some hundred bytes at most") {
-  constexpr int kEngines = 100;
+TEST_CASE("a changed endpoint takes at most 240 bytes of a digest") {
+  constexpr int kEndpoints = 100;
   capnp::MallocMessageBuilder message;
-  Write(DigestOf(kEngines), message.initRoot<rpc::Digest>());
+  Write(MakeDigest(kEndpoints), message.initRoot<rpc::Digest>());
   const std::size_t bytes = message.sizeInWords() * sizeof(capnp::word);
-  MESSAGE("bytes an engine: ", bytes / kEngines);
-  CHECK(bytes / kEngines <= 240);
+  MESSAGE("bytes per endpoint: ", bytes / kEndpoints);
+  CHECK(bytes / kEndpoints <= 240);
 }
 
 }  // namespace
--- a/src/rudderloom/peers/heartbeat_codec.cpp
+++ b/src/rudderloom/peers/heartbeat_codec.cpp
@@ -25,7 +25,7 @@
   return counts;
 }
 
-unsigned Size(std::size_t size) {
+unsigned ListSize(std::size_t size) {
   return static_cast<unsigned>(size);
 }
 
@@ -40,17 +40,17 @@
   out.setBeat(self.beat);
   out.setGeneration(self.generation);
   out.setStopping(self.stopping);
-  auto leaving = out.initLeaving(Size(self.leaving.size()));
+  auto leaving = out.initLeaving(ListSize(self.leaving.size()));
   for (unsigned i = 0; i < leaving.size(); ++i) {
     leaving.set(i, self.leaving[i]);
   }
-  WriteCounts(self.in_flight, out.initInFlight(Size(self.in_flight.size())));
-  WriteCounts(self.demand, out.initDemand(Size(self.demand.size())));
-  WriteCounts(self.quiet_epochs, out.initQuietEpochs(Size(self.quiet_epochs.size())));
+  WriteCounts(self.in_flight, out.initInFlight(ListSize(self.in_flight.size())));
+  WriteCounts(self.demand, out.initDemand(ListSize(self.demand.size())));
+  WriteCounts(self.quiet_epochs, out.initQuietEpochs(ListSize(self.quiet_epochs.size())));
   if (!self.crash_news.Empty()) {
     WriteNews(self.crash_news, out.initCrashNews());
   }
-  auto digests = out.initDigests(Size(report.digests.size()));
+  auto digests = out.initDigests(ListSize(report.digests.size()));
   for (unsigned i = 0; i < digests.size(); ++i) {
     const NodeDigest& digest = report.digests[i];
     digests[i].setId(digest.id);
@@ -59,9 +59,9 @@
   }
 }
 
-message::PeerHeard Read(rpc::Heartbeat::Reader in) {
-  message::PeerHeard heard;
-  NodeState& state = heard.state;
+message::HeartbeatReceived Read(rpc::Heartbeat::Reader in) {
+  message::HeartbeatReceived heartbeat;
+  NodeState& state = heartbeat.state;
   state.name = in.getName().cStr();
   state.incarnation = in.getIncarnation().cStr();
   state.peers_address = in.getAddress().cStr();
@@ -77,9 +77,9 @@
   state.quiet_epochs = ReadCounts<std::map<std::string, std::uint64_t>>(in.getQuietEpochs());
   state.crash_news = ReadNews(in.getCrashNews());
   for (const auto digest : in.getDigests()) {
-    heard.digests.push_back({digest.getId(), digest.getBeat(), digest.getGeneration()});
+    heartbeat.digests.push_back({digest.getId(), digest.getBeat(), digest.getGeneration()});
   }
-  return heard;
+  return heartbeat;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/peers/holder_link.cpp
+++ b/src/rudderloom/peers/holder_link.cpp
@@ -18,8 +18,8 @@
 
 namespace {
 
-// A caller waits meanwhile. Between two availability zones an answer takes some 5 ms.
-constexpr Duration kAskLimit{150};
+// The caller waits for this call. Between two availability zones it takes about 5 ms.
+constexpr Duration kCallTimeout{150};
 
 using WakeFulfiller = kj::Own<kj::CrossThreadPromiseFulfiller<void>>;
 
@@ -29,45 +29,45 @@
 
 }  // namespace
 
-// Counts on their way to a node.
+// Counts to be sent to a node.
 struct OutgoingReport {
   std::string to;  // address
   NodeCounts counts;
 };
 
-// A request that waits for another node's answer.
-template <class Question, class Callback>
-struct PendingAsk {
-  Question question;
+// A call that waits for the answer of another node.
+template <class Parameters, class Callback>
+struct PendingCall {
+  Parameters parameters;
   Callback done;
 };
-using PendingSpend = PendingAsk<SpendAsk, SpendCallback>;
-using PendingPermit = PendingAsk<PermitAsk, PermitCallback>;
-struct OutgoingAsk {
+using PendingSpend = PendingCall<SpendAsk, SpendCallback>;
+using PendingPermit = PendingCall<PermitAsk, PermitCallback>;
+struct OutgoingCall {
   std::string to;  // address
   std::variant<PendingSpend, PendingPermit> pending;
 };
 
-// Shared by the owner and the event loop's thread.
+// State shared by the owner and the event loop thread.
 struct HolderLink::Impl {
   std::string address;
   Duration answer_limit;
   HolderLinkHooks hooks;
 
-  std::mutex mutex;  // guards what follows
-  std::optional<OutgoingReport> next;
-  std::vector<OutgoingAsk> asks;
-  bool under_way = false;
+  std::mutex mutex;  // guards the members below, up to `wake`
+  std::optional<OutgoingReport> next_report;
+  std::vector<OutgoingCall> calls;
+  bool report_in_flight = false;
   bool stopping = false;
   kj::Maybe<WakeFulfiller> wake;
 
-  std::promise<unsigned> listening;  // gives the port
+  std::promise<unsigned> listening;  // set to the bound port
   std::promise<void> started;
-  bool hooked = false;  // Start was called
+  bool start_called = false;  // Start was called
   std::thread thread;
 
-  // Ends the loop's present wait.
-  void Wake() {
+  // Wakes the event loop if it is waiting.
+  void WakeLoop() {
     KJ_IF_MAYBE (fulfiller, wake) {
       (*fulfiller)->fulfill();
       wake = nullptr;
@@ -77,34 +77,34 @@
 
 namespace {
 
-// Tells in the log what it costs this node's link to answer all others, which grows with the fleet.
-class AnswerLog {
+// Logs the number and size of the responses to other nodes, which grow with the fleet.
+class ResponseLog {
  public:
-  void Answered(std::size_t bytes) {
-    ++answers_;
+  void Record(std::size_t bytes) {
+    ++responses_;
     bytes_ += bytes;
     const TimePoint now = Now();
-    if (now - logged_at_ < kEvery) {
+    if (now - logged_at_ < kLogInterval) {
       return;
     }
     LogLine("nodes_answered")
-        .With("answers", answers_)
+        .With("answers", responses_)
         .With("bytes", bytes_)
         .With("ms", logged_at_ == TimePoint() ? 0 : Between(logged_at_, now).count());
     logged_at_ = now;
-    answers_ = 0;
+    responses_ = 0;
     bytes_ = 0;
   }
 
  private:
-  static constexpr Duration kEvery{1'000};
+  static constexpr Duration kLogInterval{1'000};
 
-  std::size_t answers_ = 0;
+  std::size_t responses_ = 0;
   std::size_t bytes_ = 0;
   TimePoint logged_at_;
 };
 
-// Answers the reports of other nodes.
+// Serves the calls of other nodes.
 class PlacementService final : public rpc::PlacementHolder::Server {
  public:
   explicit PlacementService(const HolderLinkHooks& hooks) : hooks_(hooks) {}
@@ -115,7 +115,7 @@
     hooks_.on_counts(std::move(counts));
     Write(digest, context.getResults().initDigest());
     if (digest.holds) {
-      log_.Answered(context.getResults().totalSize().wordCount * sizeof(capnp::word));
+      log_.Record(context.getResults().totalSize().wordCount * sizeof(capnp::word));
     }
     return kj::READY_NOW;
   }
@@ -136,38 +136,38 @@
 
  private:
   const HolderLinkHooks& hooks_;
-  AnswerLog log_;
+  ResponseLog log_;
 };
 
-// Reports this node's counts, one report at a time.
+// Sends this node's reports, one at a time, and its calls to other nodes.
 template <class Impl>
 class Reporter final : public kj::TaskSet::ErrorHandler {
  public:
   Reporter(Impl& impl, kj::AsyncIoProvider& provider)
       : impl_(impl), timer_(provider.getTimer()), network_(provider.getNetwork()), tasks_(*this) {}
 
-  // Ends when the link is stopped.
+  // Runs until the link is stopped.
   kj::Promise<void> Loop() {
-    return NextTurn().then([this]() -> kj::Promise<void> {
+    return WaitForWork().then([this]() -> kj::Promise<void> {
       std::optional<OutgoingReport> report;
-      std::vector<OutgoingAsk> asks;
+      std::vector<OutgoingCall> calls;
       {
         const std::lock_guard lock(impl_.mutex);
         if (impl_.stopping) {
           return kj::READY_NOW;
         }
-        asks.swap(impl_.asks);
-        if (!impl_.under_way) {
-          report.swap(impl_.next);
-          impl_.under_way = report.has_value();
+        calls.swap(impl_.calls);
+        if (!impl_.report_in_flight) {
+          report.swap(impl_.next_report);
+          impl_.report_in_flight = report.has_value();
         }
       }
       if (report) {
         tasks_.add(Report(report->to, report->counts));
       }
-      for (OutgoingAsk& ask : asks) {
-        std::visit([&](auto& pending) { tasks_.add(Ask(ask.to, std::move(pending))); },
-                   ask.pending);
+      for (OutgoingCall& call : calls) {
+        std::visit([&](auto& pending) { tasks_.add(Ask(call.to, std::move(pending))); },
+                   call.pending);
       }
       return Loop();
     });
@@ -178,10 +178,10 @@
   }
 
  private:
-  // When there is something to ask, or to report with nothing under way.
-  kj::Promise<void> NextTurn() {
+  // Completes when there are calls to send, or a report to send and none in flight.
+  kj::Promise<void> WaitForWork() {
     const std::lock_guard lock(impl_.mutex);
-    if (impl_.stopping || !impl_.asks.empty() || (impl_.next && !impl_.under_way)) {
+    if (impl_.stopping || !impl_.calls.empty() || (impl_.next_report && !impl_.report_in_flight)) {
       return kj::READY_NOW;
     }
     auto pair = kj::newPromiseAndCrossThreadFulfiller<void>();
@@ -189,31 +189,31 @@
     return kj::mv(pair.promise);
   }
 
-  void Ended() {
+  void ReportFinished() {
     const std::lock_guard lock(impl_.mutex);
-    impl_.under_way = false;
-    impl_.Wake();
+    impl_.report_in_flight = false;
+    impl_.WakeLoop();
   }
 
   kj::Promise<void> Report(const std::string& address, const NodeCounts& counts) {
     return timer_.timeoutAfter(ToKj(impl_.answer_limit), ConnectAndReport(address, counts))
-        .then([this]() { Ended(); },
+        .then([this]() { ReportFinished(); },
               [this, address, number = counts.report_number](kj::Exception&&) {
-                connection_.reset();
-                Ended();
+                report_connection_.reset();
+                ReportFinished();
                 impl_.hooks.on_failure(address, number);
               });
   }
 
   kj::Promise<void> ConnectAndReport(const std::string& address, const NodeCounts& counts) {
-    if (connection_ && connected_to_ == address) {
-      return Exchange(connection_, address, counts);
+    if (report_connection_ && report_address_ == address) {
+      return Exchange(report_connection_, address, counts);
     }
-    connection_.reset();
+    report_connection_.reset();
     return ConnectToPeer(network_, address)
         .then([this, address, counts](std::shared_ptr<PeerConnection>&& connection) {
-          connection_ = connection;
-          connected_to_ = address;
+          report_connection_ = connection;
+          report_address_ = address;
           return Exchange(connection, address, counts);
         });
   }
@@ -225,10 +225,10 @@
     auto request = holder.reportRequest();
     Write(counts, request.initCounts());
     return request.send()
-        .then([this, address, number = counts.report_number, asked_at = Now()](auto&& response) {
+        .then([this, address, number = counts.report_number, sent_at = Now()](auto&& response) {
           HolderDigest digest = Read(response.getDigest());
-          // The answer may have been made right after the question was sent.
-          MakeOlder(digest, Between(asked_at, Now()));
+          // The response may have been built right after the request was sent.
+          MakeOlder(digest, Between(sent_at, Now()));
           impl_.hooks.on_digest(std::move(digest), address, number);
         })
         .attach(kj::mv(connection));
@@ -236,19 +236,19 @@
 
   template <class Pending>
   kj::Promise<void> Ask(const std::string& to, Pending pending) {
-    auto asked = std::make_shared<Pending>(std::move(pending));
-    return timer_.timeoutAfter(ToKj(kAskLimit), ConnectAndAsk(to, asked->question))
-        .then([asked](auto&& answer) { asked->done(answer); },
-              [this, asked](kj::Exception&&) {
-                asking_ = nullptr;
-                asked->done(std::nullopt);
+    auto shared_call = std::make_shared<Pending>(std::move(pending));
+    return timer_.timeoutAfter(ToKj(kCallTimeout), ConnectAndCall(to, shared_call->parameters))
+        .then([shared_call](auto&& answer) { shared_call->done(answer); },
+              [this, shared_call](kj::Exception&&) {
+                call_connection_ = nullptr;
+                shared_call->done(std::nullopt);
               });
   }
 
-  template <class Question>
-  auto ConnectAndAsk(const std::string& to, const Question& question) {
-    return AskingConnection(to).then([question](std::shared_ptr<PeerConnection>&& connection) {
-      auto answer = Call(connection->main.castAs<rpc::PlacementHolder>(), question);
+  template <class Parameters>
+  auto ConnectAndCall(const std::string& to, const Parameters& parameters) {
+    return CallConnection(to).then([parameters](std::shared_ptr<PeerConnection>&& connection) {
+      auto answer = Call(connection->main.castAs<rpc::PlacementHolder>(), parameters);
       return answer.attach(kj::mv(connection));
     });
   }
@@ -269,13 +269,13 @@
     return request.send().then([](auto&& response) { return Read(response); });
   }
 
-  // One connection for all asks, beside the one for reports, which may lead to a relay.
-  kj::Promise<std::shared_ptr<PeerConnection>> AskingConnection(const std::string& holder) {
-    if (asking_ == nullptr || asking_to_ != holder) {
-      asking_to_ = holder;
-      asking_ = ConnectToPeer(network_, holder).fork();
+  // Calls share one connection. Reports use a separate one, because they may go to a relay.
+  kj::Promise<std::shared_ptr<PeerConnection>> CallConnection(const std::string& holder) {
+    if (call_connection_ == nullptr || call_address_ != holder) {
+      call_address_ = holder;
+      call_connection_ = ConnectToPeer(network_, holder).fork();
     }
-    KJ_IF_MAYBE (connection, asking_) {
+    KJ_IF_MAYBE (connection, call_connection_) {
       return connection->addBranch();
     }
     KJ_UNREACHABLE;
@@ -284,22 +284,22 @@
   Impl& impl_;
   kj::Timer& timer_;
   kj::Network& network_;
-  std::shared_ptr<PeerConnection> connection_;
-  std::string connected_to_;
-  kj::Maybe<kj::ForkedPromise<std::shared_ptr<PeerConnection>>> asking_;
-  std::string asking_to_;
+  std::shared_ptr<PeerConnection> report_connection_;
+  std::string report_address_;
+  kj::Maybe<kj::ForkedPromise<std::shared_ptr<PeerConnection>>> call_connection_;
+  std::string call_address_;
   kj::TaskSet tasks_;
 };
 
-// Body of the event loop's thread.
+// Main function of the event loop thread.
 template <class Impl>
-void RunLoop(Impl& impl) {
+void RunEventLoop(Impl& impl) {
   capnp::EzRpcServer server(kj::heap<PlacementService>(impl.hooks), impl.address);
-  auto& scope = server.getWaitScope();
-  impl.listening.set_value(server.getPort().wait(scope));
+  auto& wait_scope = server.getWaitScope();
+  impl.listening.set_value(server.getPort().wait(wait_scope));
   impl.started.get_future().wait();
   Reporter<Impl> reporter(impl, server.getIoProvider());
-  reporter.Loop().wait(scope);
+  reporter.Loop().wait(wait_scope);
 }
 
 }  // namespace
@@ -311,14 +311,14 @@
   auto listening = impl_->listening.get_future();
   impl_->thread = std::thread([impl = impl_] {
     try {
-      RunLoop(*impl);
+      RunEventLoop(*impl);
     } catch (const kj::Exception& error) {
       LogLine("holder_link_failed", Severity::kError).With("error", error.getDescription().cStr());
       try {
         impl->listening.set_exception(
             std::make_exception_ptr(std::runtime_error(error.getDescription().cStr())));
       } catch (const std::future_error&) {
-        // It had begun to listen: the owner was told already.
+        // The port was set already, so the constructor has returned.
       }
     }
   });
@@ -337,29 +337,29 @@
 
 void HolderLink::Start(HolderLinkHooks hooks) {
   impl_->hooks = std::move(hooks);
-  impl_->hooked = true;
+  impl_->start_called = true;
   impl_->started.set_value();
 }
 
 void HolderLink::Report(const std::string& to, NodeCounts counts) {
   const std::lock_guard lock(impl_->mutex);
-  if (impl_->next) {
-    AddUntold(impl_->next->counts, counts);
+  if (impl_->next_report) {
+    AddUntold(impl_->next_report->counts, counts);
   }
-  impl_->next = OutgoingReport{to, std::move(counts)};
-  impl_->Wake();
+  impl_->next_report = OutgoingReport{to, std::move(counts)};
+  impl_->WakeLoop();
 }
 
 void HolderLink::Ask(const std::string& holder, const SpendAsk& ask, SpendCallback done) {
   const std::lock_guard lock(impl_->mutex);
-  impl_->asks.push_back({holder, PendingSpend{ask, std::move(done)}});
-  impl_->Wake();
+  impl_->calls.push_back({holder, PendingSpend{ask, std::move(done)}});
+  impl_->WakeLoop();
 }
 
 void HolderLink::Ask(const std::string& granter, const PermitAsk& ask, PermitCallback done) {
   const std::lock_guard lock(impl_->mutex);
-  impl_->asks.push_back({granter, PendingPermit{ask, std::move(done)}});
-  impl_->Wake();
+  impl_->calls.push_back({granter, PendingPermit{ask, std::move(done)}});
+  impl_->WakeLoop();
 }
 
 void HolderLink::Stop() {
@@ -369,14 +369,14 @@
   {
     const std::lock_guard lock(impl_->mutex);
     impl_->stopping = true;
-    impl_->Wake();
+    impl_->WakeLoop();
   }
-  if (!impl_->hooked) {
+  if (!impl_->start_called) {
     impl_->started.set_value();
   }
   impl_->thread.join();
-  // Callbacks of asks that were never sent may hold what must not outlive this call.
-  impl_->asks.clear();
+  // Callbacks of unsent calls may own objects that must not outlive Stop.
+  impl_->calls.clear();
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/peers/node_server.cpp
+++ b/src/rudderloom/peers/node_server.cpp
@@ -18,7 +18,7 @@
 
 namespace {
 
-constexpr std::size_t kWordBytes = 8;
+constexpr std::size_t kBytesPerWord = 8;
 
 kj::Duration ToKj(Duration duration) {
   return duration.count() * kj::MILLISECONDS;
@@ -26,13 +26,16 @@
 
 }  // namespace
 
-// Shared by the owner and the event loop's thread.
+// State shared by the owner and the event loop thread.
 struct NodeServer::Impl {
-  Impl(const ListenerSettings& listens,
-       MembershipSettings settings,
-       Contact& heard,
-       Metrics& counts)
-      : listener(listens), membership(settings), contact(heard), metrics(counts) {}
+  Impl(const ListenerSettings& listener_settings,
+       MembershipSettings membership_settings,
+       Contact& last_contact,
+       Metrics& node_metrics)
+      : listener(listener_settings),
+        membership(membership_settings),
+        contact(last_contact),
+        metrics(node_metrics) {}
 
   std::shared_ptr<const NodeReport> Report() const {
     const std::lock_guard lock(mutex);
@@ -48,12 +51,12 @@
   std::shared_ptr<const NodeReport> report = std::make_shared<NodeReport>();
   std::promise<unsigned> port;
   std::promise<void> started;
-  bool hooked = false;  // Start was called
+  bool start_called = false;  // Start was called
   kj::Own<kj::CrossThreadPromiseFulfiller<void>> stop;
   std::thread thread;
 };
 
-// Answers peers and operators; lives on the event loop's thread.
+// Serves the calls of peers and operators. Used on the event loop thread.
 class NodeService final : public rpc::Node::Server {
  public:
   using Report = std::function<std::shared_ptr<const NodeReport>()>;
@@ -70,14 +73,14 @@
         metrics_(metrics) {}
 
   kj::Promise<void> heartbeat(HeartbeatContext context) override {
-    const auto mine = context.getParams().getMine();
+    const auto received = context.getParams().getMine();
     metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
-                   mine.totalSize().wordCount * kWordBytes);
+                   received.totalSize().wordCount * kBytesPerWord);
     contact_.Heard(Now());
-    hooks_.post(Read(mine));
+    hooks_.post(Read(received));
     Write(*report_(), context.getResults().initYours());
     metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
-                   context.getResults().totalSize().wordCount * kWordBytes);
+                   context.getResults().totalSize().wordCount * kBytesPerWord);
     return kj::READY_NOW;
   }
 
@@ -92,16 +95,18 @@
 
   kj::Promise<void> change(ChangeContext context) override {
     auto pair = kj::newPromiseAndCrossThreadFulfiller<void>();
-    // std::function must be copyable, so the fulfiller is shared, and the result beside it.
+    // std::function requires copyable captures, so the fulfiller and the result are shared.
     auto fulfiller =
         std::make_shared<kj::Own<kj::CrossThreadPromiseFulfiller<void>>>(kj::mv(pair.fulfiller));
-    auto slot = std::make_shared<ChangeResult>();
-    hooks_.change(Read(context.getParams().getRequest()), [fulfiller, slot](ChangeResult result) {
-      *slot = std::move(result);
-      (*fulfiller)->fulfill();
+    auto shared_result = std::make_shared<ChangeResult>();
+    hooks_.change(Read(context.getParams().getRequest()),
+                  [fulfiller, shared_result](ChangeResult result) {
+                    *shared_result = std::move(result);
+                    (*fulfiller)->fulfill();
+                  });
+    return pair.promise.then([context, shared_result]() mutable {
+      Write(*shared_result, context.getResults().initResult());
     });
-    return pair.promise.then(
-        [context, slot]() mutable { Write(*slot, context.getResults().initResult()); });
   }
 
   kj::Promise<void> get(GetContext context) override {
@@ -132,7 +137,7 @@
   Metrics& metrics_;
 };
 
-// Sends heartbeats to the members whose turn it is, and fetches newer configurations.
+// Sends heartbeats to the targets in the report and fetches newer configurations from peers.
 class HeartbeatSender final : public kj::TaskSet::ErrorHandler {
  public:
   HeartbeatSender(NodeService::Report report,
@@ -163,25 +168,25 @@
       const auto report = report_();
       contact_.SetPeersKnown(report->peers_known);
       for (const Member& target : report->targets) {
-        tasks_.add(Beat(target.state.peers_address, report));
+        tasks_.add(SendHeartbeat(target.state.peers_address, report));
       }
       return Loop();
     });
   }
 
-  kj::Promise<void> Beat(const std::string& address,
-                         const std::shared_ptr<const NodeReport>& report) {
+  kj::Promise<void> SendHeartbeat(const std::string& address,
+                                  const std::shared_ptr<const NodeReport>& report) {
     if (address.empty()) {
       return kj::READY_NOW;
     }
-    return timer_.timeoutAfter(ToKj(membership_.silent_after), ConnectAndBeat(address, report))
+    return timer_.timeoutAfter(ToKj(membership_.silent_after), ConnectAndSend(address, report))
         .catch_([this, address](kj::Exception&&) {
           connections_.erase(address);
           metrics_.Count({"rudderloom_heartbeats_failed_total"});
         });
   }
 
-  kj::Promise<void> ConnectAndBeat(const std::string& address,
+  kj::Promise<void> ConnectAndSend(const std::string& address,
                                    const std::shared_ptr<const NodeReport>& report) {
     const auto found = connections_.find(address);
     if (found != connections_.end()) {
@@ -200,23 +205,24 @@
     auto request = peer.heartbeatRequest();
     Write(*report, request.initMine());
     metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
-                   request.totalSize().wordCount * kWordBytes);
-    const std::uint64_t mine = report->self.generation;
+                   request.totalSize().wordCount * kBytesPerWord);
+    const std::uint64_t own_generation = report->self.generation;
     return request.send()
-        .then([this, peer, mine](auto&& response) mutable -> kj::Promise<void> {
-          const auto yours = response.getYours();
+        .then([this, peer, own_generation](auto&& response) mutable -> kj::Promise<void> {
+          const auto reply = response.getYours();
           metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
-                         yours.totalSize().wordCount * kWordBytes);
+                         reply.totalSize().wordCount * kBytesPerWord);
           contact_.Heard(Now());
-          message::PeerHeard heard = Read(yours);
-          const std::uint64_t theirs = heard.state.generation;
-          hooks_.post(std::move(heard));
-          return theirs > mine ? Fetch(peer, mine) : kj::Promise<void>(kj::READY_NOW);
+          message::HeartbeatReceived heartbeat = Read(reply);
+          const std::uint64_t peer_generation = heartbeat.state.generation;
+          hooks_.post(std::move(heartbeat));
+          return peer_generation > own_generation ? FetchConfiguration(peer, own_generation)
+                                                  : kj::Promise<void>(kj::READY_NOW);
         })
         .attach(kj::mv(connection));
   }
 
-  kj::Promise<void> Fetch(rpc::Peer::Client peer, std::uint64_t newer_than) {
+  kj::Promise<void> FetchConfiguration(rpc::Peer::Client peer, std::uint64_t newer_than) {
     auto request = peer.configurationRequest();
     request.setNewerThan(newer_than);
     return request.send().then([this](auto&& response) {
@@ -247,22 +253,22 @@
 
 namespace {
 
-// Body of the event loop's thread.
+// Main function of the event loop thread.
 template <class Impl>
-void RunLoop(const std::shared_ptr<Impl>& impl) {
+void RunEventLoop(const std::shared_ptr<Impl>& impl) {
   const auto report = [impl] { return impl->Report(); };
   auto service =
       kj::heap<NodeService>(report, impl->membership, impl->hooks, impl->contact, impl->metrics);
   capnp::EzRpcServer server(kj::mv(service), impl->listener.address, impl->listener.port);
-  auto& scope = server.getWaitScope();
+  auto& wait_scope = server.getWaitScope();
   auto stop = kj::newPromiseAndCrossThreadFulfiller<void>();
   impl->stop = kj::mv(stop.fulfiller);
-  impl->port.set_value(server.getPort().wait(scope));
-  // Nothing is answered before the hooks are there.
+  impl->port.set_value(server.getPort().wait(wait_scope));
+  // Calls are served only after Start has set the hooks.
   impl->started.get_future().wait();
   HeartbeatSender sender(report, impl->membership, impl->hooks, impl->contact, impl->metrics,
                          server.getIoProvider());
-  stop.promise.wait(scope);
+  stop.promise.wait(wait_scope);
 }
 
 }  // namespace
@@ -275,9 +281,9 @@
   auto port = impl_->port.get_future();
   impl_->thread = std::thread([impl = impl_] {
     try {
-      RunLoop(impl);
+      RunEventLoop(impl);
     } catch (...) {
-      // Before the port was told, the owner hears of it; later there is nobody left to tell.
+      // The constructor rethrows errors that occur before the port is set; later ones are logged.
       try {
         impl->port.set_exception(std::current_exception());
       } catch (const std::future_error&) {
@@ -301,7 +307,7 @@
   if (!impl_->thread.joinable()) {
     return;
   }
-  if (!impl_->hooked) {
+  if (!impl_->start_called) {
     impl_->started.set_value();
   }
   impl_->stop->fulfill();
@@ -310,7 +316,7 @@
 
 void NodeServer::Start(NodeServerHooks hooks) {
   impl_->hooks = std::move(hooks);
-  impl_->hooked = true;
+  impl_->start_called = true;
   impl_->started.set_value();
 }
 
--- a/src/rudderloom/peers/operator_codec.cpp
+++ b/src/rudderloom/peers/operator_codec.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-unsigned Size(std::size_t size) {
+unsigned ListSize(std::size_t size) {
   return static_cast<unsigned>(size);
 }
 
-// Fills a ChangeResult message from whichever result it is.
+// Visitor that writes each alternative of ChangeResult.
 struct ResultWriter {
   rpc::ChangeResult::Builder out;
 
@@ -20,10 +20,10 @@
     group.setAuthor(conflict.author);
   }
   void operator()(const ChangeInvalid& invalid) {
-    auto mistakes = out.initInvalid(Size(invalid.mistakes.size()));
-    for (unsigned i = 0; i < mistakes.size(); ++i) {
-      mistakes[i].setPath(invalid.mistakes[i].path);
-      mistakes[i].setMessage(invalid.mistakes[i].message);
+    auto error_list = out.initInvalid(ListSize(invalid.mistakes.size()));
+    for (unsigned i = 0; i < error_list.size(); ++i) {
+      error_list[i].setPath(invalid.mistakes[i].path);
+      error_list[i].setMessage(invalid.mistakes[i].message);
     }
   }
   void operator()(const ChangeUnreachable& unreachable) { out.setUnreachable(unreachable.message); }
@@ -39,7 +39,7 @@
   out.setStopping(state.stopping);
 }
 
-std::string_view StateOf(const EndpointState& state, const Configuration& configuration) {
+std::string_view EndpointStateName(const EndpointState& state, const Configuration& configuration) {
   if (state.spec.leaving || state.leaving_said) {
     return "leaving";
   }
@@ -55,7 +55,7 @@
   out.setName(state.spec.name);
   out.setPool(state.spec.pool);
   out.setAddress(state.spec.address);
-  out.setState(std::string(StateOf(state, *report.configuration)));
+  out.setState(std::string(EndpointStateName(state, *report.configuration)));
   out.setMemory(state.spec.memory);
   std::vector<std::pair<std::string, const Reservation*>> units;
   std::uint64_t reserved = 0;
@@ -69,7 +69,7 @@
     }
   }
   out.setReserved(reserved);
-  auto list = out.initUnits(Size(units.size()));
+  auto list = out.initUnits(ListSize(units.size()));
   for (unsigned i = 0; i < list.size(); ++i) {
     list[i].setUnit(units[i].first);
     list[i].setState(std::string(NameOf(units[i].second->state)));
@@ -91,7 +91,7 @@
   const auto& apply = std::get<ApplySet>(request.what);
   auto group = out.initApply();
   group.setSet(apply.set);
-  auto files = group.initFiles(Size(apply.files.size()));
+  auto files = group.initFiles(ListSize(apply.files.size()));
   for (unsigned i = 0; i < files.size(); ++i) {
     files[i].setName(apply.files[i].name);
     files[i].setText(apply.files[i].text);
@@ -146,18 +146,18 @@
 void Write(const NodeReport& report, const MembershipSettings& settings, rpc::Status::Builder out) {
   const TimePoint now = Now();
   WriteNode(report.self, true, out.initNode());
-  auto others = out.initOthers(Size(report.members.size()));
+  auto others = out.initOthers(ListSize(report.members.size()));
   for (unsigned i = 0; i < others.size(); ++i) {
     const Member& member = report.members[i];
     const bool live =
         member.advanced_at && Between(*member.advanced_at, now) <= settings.silent_after;
     WriteNode(member.state, live, others[i]);
   }
-  auto endpoints = out.initEndpoints(Size(report.endpoints.size()));
+  auto endpoints = out.initEndpoints(ListSize(report.endpoints.size()));
   for (unsigned i = 0; i < endpoints.size(); ++i) {
     WriteEndpoint(report.endpoints[i], report, endpoints[i]);
   }
-  auto held = out.initHeldPools(Size(report.held_pools.size()));
+  auto held = out.initHeldPools(ListSize(report.held_pools.size()));
   for (unsigned i = 0; i < held.size(); ++i) {
     held.set(i, report.held_pools[i]);
   }
--- a/src/rudderloom/peers/operator_codec.hpp
+++ b/src/rudderloom/peers/operator_codec.hpp
@@ -1,4 +1,4 @@
-// Turns operators' calls into this project's types and back.
+// Converts the data of operator calls to and from Cap'n Proto messages.
 #ifndef RUDDERLOOM_PEERS_OPERATOR_CODEC_HPP
 #define RUDDERLOOM_PEERS_OPERATOR_CODEC_HPP
 
--- a/src/rudderloom/peers/peer_connection.hpp
+++ b/src/rudderloom/peers/peer_connection.hpp
@@ -1,4 +1,4 @@
-// A Cap'n Proto connection to another entry node, made on kj's event loop.
+// A Cap'n Proto connection to another entry node, for use on a kj event loop.
 #ifndef RUDDERLOOM_PEERS_PEER_CONNECTION_HPP
 #define RUDDERLOOM_PEERS_PEER_CONNECTION_HPP
 
@@ -9,9 +9,9 @@
 
 namespace rudderloom {
 
-// An established connection and the one capability asked for over it. It must outlive every
-// capability that came over it. (EzRpcClient can't be used: destroyed while it still connects, its
-// pending steps touch freed memory; asked again over an ended connection, its destructor throws.)
+// An established connection and its bootstrap capability. It must outlive every capability received
+// over it. EzRpcClient is not used: if it is destroyed while connecting, its pending steps access
+// freed memory, and if it is used again after the connection was closed, its destructor throws.
 struct PeerConnection {
   explicit PeerConnection(kj::Own<kj::AsyncIoStream> connected)
       : stream(kj::mv(connected)), client(*stream), main(client.bootstrap()) {}
@@ -21,7 +21,7 @@
   capnp::Capability::Client main;
 };
 
-// Connects to an IP number and port. Dropping the promise gives the attempt up.
+// Connects to an IP address and port. Destroying the promise cancels the attempt.
 inline kj::Promise<std::shared_ptr<PeerConnection>> ConnectToPeer(kj::Network& network,
                                                                   const std::string& address) {
   return network.parseAddress(address)
--- a/src/rudderloom/peers/quarantine_codec.cpp
+++ b/src/rudderloom/peers/quarantine_codec.cpp
@@ -1,6 +1,6 @@
 #include "peers/quarantine_codec.hpp"
 
-#include "peers/crash_codec.hpp"  // for DataOf
+#include "peers/crash_codec.hpp"  // for ToData
 
 namespace rudderloom {
 
@@ -9,7 +9,7 @@
   auto entries = out.initEntries(table.entries.size());
   for (unsigned i = 0; i < table.entries.size(); ++i) {
     const SuspectEntry& entry = table.entries[i];
-    entries[i].setRequest(DataOf(entry.request));
+    entries[i].setRequest(ToData(entry.request));
     entries[i].setHeldBefore(entry.held_before);
     entries[i].setAgeMs(static_cast<std::uint64_t>(entry.age.count()));
     auto endpoints = entries[i].initEndpoints(entry.endpoints.size());
@@ -23,16 +23,16 @@
 QuarantineTable ReadQuarantine(rpc::QuarantineTable::Reader in) {
   QuarantineTable table;
   table.version = in.getVersion();
-  for (const auto told : in.getEntries()) {
-    const auto request = ReadRequestDigest(told.getRequest());
+  for (const auto encoded_entry : in.getEntries()) {
+    const auto request = ReadRequestDigest(encoded_entry.getRequest());
     if (!request) {
       continue;
     }
     SuspectEntry entry;
     entry.request = *request;
-    entry.held_before = told.getHeldBefore();
-    entry.age = Duration(static_cast<Duration::rep>(told.getAgeMs()));
-    for (const EndpointKey endpoint : told.getEndpoints()) {
+    entry.held_before = encoded_entry.getHeldBefore();
+    entry.age = Duration(static_cast<Duration::rep>(encoded_entry.getAgeMs()));
+    for (const EndpointKey endpoint : encoded_entry.getEndpoints()) {
       entry.endpoints.insert(endpoint);
     }
     table.entries.push_back(std::move(entry));
--- a/src/rudderloom/peers/quarantine_codec.hpp
+++ b/src/rudderloom/peers/quarantine_codec.hpp
@@ -1,4 +1,4 @@
-// The quarantine, in Cap'n Proto's words and back.
+// Converts the quarantine table to and from Cap'n Proto messages.
 #ifndef RUDDERLOOM_PEERS_QUARANTINE_CODEC_HPP
 #define RUDDERLOOM_PEERS_QUARANTINE_CODEC_HPP
 
