--- a/include/rudderloom/configuration/configuration.hpp
+++ b/include/rudderloom/configuration/configuration.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The configuration in force: all declared sets and drained endpoints, under one generation.
+/// The configuration: all declaration sets and drained endpoints, with a generation number.
 #ifndef RUDDERLOOM_CONFIGURATION_CONFIGURATION_HPP
 #define RUDDERLOOM_CONFIGURATION_CONFIGURATION_HPP
 
@@ -15,39 +15,40 @@
 
 namespace rudderloom {
 
-/// @brief One accepted state of everything that operators decide.
+/// @brief The state set by operators, in one generation.
 /// @ingroup configuration
 struct Configuration {
-  std::uint64_t generation = 0;  ///< Grows by one with each accepted change; 0 is the empty start.
-  std::string author;            ///< Who made the last change, for the loser of a race.
+  std::uint64_t generation =
+      0;  ///< Incremented by each accepted change; 0 is the initial empty configuration.
+  std::string author;  ///< Author of the last change, reported on conflicts.
   std::map<std::string, DeclarationSet> sets;
-  std::set<std::string> drained;  ///< Endpoints that operators took out of service.
-  Catalog catalog;                ///< What the sets declare.
+  std::set<std::string> drained;  ///< Endpoints taken out of service by operators.
+  Catalog catalog;                ///< Parsed content of the sets.
 };
 
-/// @brief A configuration that nobody changes any more.
+/// @brief Shared pointer to an immutable configuration.
 /// @ingroup configuration
 using ConfigurationPtr = std::shared_ptr<const Configuration>;
 
-/// @brief As stored in the platform and sent between entry nodes.
+/// @brief Converts to the JSON form that is stored in the platform and sent between entry nodes.
 /// @ingroup configuration
 boost::json::object ToJson(const Configuration& configuration);
 
-/// @brief Reads what ToJson wrote; mistakes come with their JSON paths.
+/// @brief Parses the output of ToJson. Errors contain their JSON paths.
 /// @ingroup configuration
 std::variant<Configuration, JsonErrors> ConfigurationFromJson(const boost::json::object& object);
 
-/// @brief Keeps the newest configuration seen and never goes back to an older one.
+/// @brief Holds the latest configuration and never reverts to an older one.
 /// @ingroup configuration
 class ConfigurationKeeper {
  public:
-  /// @brief Takes the configuration if it is newer; true when it came into force.
+  /// @brief Puts the configuration into force if it is newer. Returns whether it did.
   bool Offer(ConfigurationPtr offered);
 
-  /// @brief The one in force; never null.
+  /// @brief Returns the configuration in force; never null.
   const ConfigurationPtr& InForce() const { return in_force_; }
 
-  /// @brief Offers that were older than what was in force.
+  /// @brief Returns the number of offered configurations that were older than the one in force.
   std::uint64_t Stale() const { return stale_; }
 
  private:
--- a/include/rudderloom/operators/configuration_change.hpp
+++ b/include/rudderloom/operators/configuration_change.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One operator's change of the configuration: takes effect, or is refused with its reason.
+/// Configuration changes by operators.
 #ifndef RUDDERLOOM_OPERATORS_CONFIGURATION_CHANGE_HPP
 #define RUDDERLOOM_OPERATORS_CONFIGURATION_CHANGE_HPP
 
@@ -13,21 +13,21 @@
 
 namespace rudderloom {
 
-/// @brief Replaces one declaration set; no files remove it.
+/// @brief Replaces a declaration set. An empty list of files removes it.
 /// @ingroup operators
 struct ApplySet {
   std::string set;
   std::vector<DeclarationFile> files;
 };
 
-/// @brief Takes an endpoint out of service, or brings it back.
+/// @brief Takes an endpoint out of service or returns it to service.
 /// @ingroup operators
 struct DrainEndpoint {
   std::string endpoint;
   bool undo = false;
 };
 
-/// @brief A change, on the state that its author has seen.
+/// @brief A change relative to the generation that its author has seen.
 /// @ingroup operators
 struct ChangeRequest {
   std::string author;
@@ -36,44 +36,44 @@
   std::variant<ApplySet, DrainEndpoint> what;
 };
 
-/// @brief The change stands, in this generation.
+/// @brief The change took effect with this generation.
 /// @ingroup operators
 struct ChangeAccepted {
   std::uint64_t generation = 0;
 };
 
-/// @brief This generation already says the same; nothing was written.
+/// @brief The change has no effect on this generation; nothing was written.
 /// @ingroup operators
 struct ChangeUnchanged {
   std::uint64_t generation = 0;
 };
 
-/// @brief Another change came first.
+/// @brief Another change was accepted first; these are its generation and author.
 /// @ingroup operators
 struct ChangeConflict {
   std::uint64_t generation = 0;
   std::string author;
 };
 
-/// @brief The change makes no sense.
+/// @brief The change is invalid.
 /// @ingroup operators
 struct ChangeInvalid {
   JsonErrors mistakes;
 };
 
-/// @brief The platform was not reached; nothing was changed.
+/// @brief The platform is unavailable; nothing was changed.
 /// @ingroup operators
 struct ChangeUnreachable {
   std::string message;
 };
 
-/// @brief Nobody knows; ask again with the same token.
+/// @brief The outcome is unknown. Retry with the same token to find it out.
 /// @ingroup operators
 struct ChangeUnknown {
   std::string token;
 };
 
-/// @brief What came of a change.
+/// @brief Result of a change.
 /// @ingroup operators
 using ChangeResult = std::variant<ChangeAccepted,
                                   ChangeUnchanged,
@@ -82,30 +82,32 @@
                                   ChangeUnreachable,
                                   ChangeUnknown>;
 
-/// @brief The configuration after a change, or its mistakes. Pure.
+/// @brief Returns the configuration after a change, or its validation errors.
 /// @ingroup operators
 std::variant<Configuration, JsonErrors> Changed(const Configuration& before,
                                                 const ChangeRequest& request);
 
-/// @brief Makes changes through the platform's conditional update.
+/// @brief Applies changes by conditional updates of the object on the platform.
 /// @ingroup operators
 class ConfigurationChanger {
  public:
-  /// @param accepted Called with each configuration that this process got accepted.
+  /// @param accepted Called with each configuration that this process has written.
   ConfigurationChanger(asio::io_context& context,
                        ObjectStore& store,
                        std::function<void(ConfigurationPtr)> accepted);
 
-  /// @brief Makes one change; asking again with the same token is safe.
+  /// @brief Applies a change. It is safe to retry with the same token.
   Awaitable<ChangeResult> Make(ChangeRequest request);
 
  private:
-  struct Present {
+  struct StoredConfiguration {
     Configuration configuration;
     StoredObject object;
   };
-  Awaitable<std::variant<Present, ChangeResult>> ReadPresent();
-  Awaitable<ChangeResult> Write(Present present, Configuration changed, ChangeRequest request);
+  Awaitable<std::variant<StoredConfiguration, ChangeResult>> ReadStored();
+  Awaitable<ChangeResult> Write(StoredConfiguration stored,
+                                Configuration changed,
+                                ChangeRequest request);
 
   asio::io_context& context_;
   ObjectStore& store_;
--- a/include/rudderloom/store/call_tally.hpp
+++ b/include/rudderloom/store/call_tally.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Tells in the log which calls a node makes to the store.
+/// Logs how many calls a node makes to the store.
 #ifndef RUDDERLOOM_STORE_CALL_TALLY_HPP
 #define RUDDERLOOM_STORE_CALL_TALLY_HPP
 
@@ -12,19 +12,19 @@
 
 namespace rudderloom {
 
-/// @brief Counts calls by verb and kind, and logs one `store_calls` line for each few seconds in
-/// which there were any. Each call has its price, and what makes many of them is seen only over the
-/// whole fleet: the lines of all nodes add up to that.
+/// @brief Counts calls by verb and kind, and logs them as a `store_calls` line every few seconds
+/// while calls are made. Calls are charged individually. The log lines of all nodes can be added up
+/// to find the causes of high call rates, which only show in the fleet as a whole.
 /// @ingroup store
 class CallTally {
  public:
-  /// @brief Takes one call, when it ends.
+  /// @brief Counts a completed call.
   void Count(std::string_view verb, std::string_view kind, TimePoint now);
 
  private:
   void Log();
 
-  std::map<std::string, std::uint64_t> calls_;  // by verb and kind, since the last line
+  std::map<std::string, std::uint64_t> calls_;  // by verb and kind, since the last log line
   TimePoint logged_at_;
 };
 
--- a/include/rudderloom/store/object_store.hpp
+++ b/include/rudderloom/store/object_store.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The platform's object API: versions on each object, conditional updates and watches.
-/// Follows the published Kubernetes conventions (resourceVersion, 409, 410, bookmarks).
+/// Client interface of the platform's object API: versioned objects, conditional updates and
+/// watches. Follows the Kubernetes API conventions (resourceVersion, 409, 410, bookmarks).
 #ifndef RUDDERLOOM_STORE_OBJECT_STORE_HPP
 #define RUDDERLOOM_STORE_OBJECT_STORE_HPP
 
@@ -19,7 +19,7 @@
 
 namespace rudderloom {
 
-/// @brief The kinds of object that the system keeps in the platform.
+/// @brief The kinds of objects that are stored in the platform.
 /// @ingroup store
 namespace object_kind {
 inline constexpr std::string_view kConfigurations = "configurations";
@@ -29,59 +29,59 @@
 inline constexpr std::string_view kClaims = "claims";
 }  // namespace object_kind
 
-/// @brief Version that a conditional write asks for when the object must not exist yet.
+/// @brief Expected version for a conditional write that creates the object.
 /// @ingroup store
 inline constexpr StoreRevision kMustNotExist{};
 
-/// @brief One object with its version and the tokens of its latest writers.
+/// @brief An object with its version and the tokens of its latest writers.
 /// @ingroup store
 struct StoredObject {
   std::string name;
-  std::optional<StoreRevision> version;  ///< Empty in a write means unconditional.
-  std::vector<std::string> writers;      ///< Newest first, a few of them.
+  std::optional<StoreRevision> version;  ///< Empty in a write: unconditional.
+  std::vector<std::string> writers;      ///< Latest first, at most 16.
   boost::json::object spec;
 
-  /// @brief True when the write that carried this token took effect.
+  /// @brief Returns true if the write with this token took effect.
   bool WrittenBy(const std::string& token) const;
 };
 
-/// @brief Why a call to the platform gave nothing.
+/// @brief Error of a call to the platform.
 /// @ingroup store
 struct StoreError {
   enum class Kind {
-    kConflict,     ///< Another version is there; the write did not take effect.
-    kNotFound,     ///< No such object.
-    kExpired,      ///< The watch's version is compacted; list again.
-    kThrottled,    ///< Over the platform's rate; nothing was done.
-    kRefused,      ///< Invalid or too large; nothing was done.
-    kUnreachable,  ///< Nothing was sent.
-    kUnknown,      ///< A write that may or may not have taken effect.
+    kConflict,     ///< The version differs; the write did not take effect.
+    kNotFound,     ///< The object does not exist.
+    kExpired,      ///< The version of the watch was compacted; list again.
+    kThrottled,    ///< Rate limit exceeded; the call had no effect.
+    kRefused,      ///< Invalid or too large; the call had no effect.
+    kUnreachable,  ///< The request was not sent.
+    kUnknown,      ///< A write may or may not have taken effect.
   };
   Kind kind = Kind::kUnreachable;
   std::string message;
-  std::uint64_t era = 0;  ///< Of the store, where it answered.
+  std::uint64_t era = 0;  ///< Era of the store, if it responded.
 };
 
-/// @brief Name of an error kind, as logs and counters show it.
+/// @brief Returns the name of an error kind for logs and metrics.
 /// @ingroup store
 std::string_view NameOf(StoreError::Kind kind);
 
-/// @brief A list together with the version at which a watch goes on.
+/// @brief A list of objects and the version at which a watch can continue.
 /// @ingroup store
 struct ObjectList {
   std::vector<StoredObject> objects;
   StoreRevision version;
 };
 
-/// @brief One change that a watch reports.
+/// @brief An event of a watch.
 /// @ingroup store
 struct WatchEvent {
   enum class Kind { kPut, kGone, kBookmark };
   Kind kind = Kind::kBookmark;
-  StoredObject object;  ///< For a bookmark only the version is set.
+  StoredObject object;  ///< A bookmark has only a version.
 };
 
-/// @brief Calls of the object API. Every method may be called again; none throws.
+/// @brief Client of the object API. Calls may be repeated, and none throws.
 /// @ingroup store
 class ObjectStore {
  public:
@@ -91,12 +91,12 @@
                                                                 std::string name) = 0;
   virtual Awaitable<std::variant<ObjectList, StoreError>> List(std::string kind) = 0;
 
-  /// @brief A list that may be seconds old, where the platform offers one more cheaply.
+  /// @brief Returns a list that may be seconds old, if the platform offers one at a lower cost.
   virtual Awaitable<std::variant<ObjectList, StoreError>> ListStale(std::string kind) {
     return List(std::move(kind));
   }
 
-  /// @brief A watch whose answer comes after this time also when there are no changes.
+  /// @brief Like Watch, but ends after `time` even if there are no changes.
   virtual Awaitable<StoreError> WatchFor(std::string kind,
                                          StoreRevision version,
                                          Duration /*time*/,
@@ -104,28 +104,28 @@
     return Watch(std::move(kind), version, std::move(on_event));
   }
 
-  /// @brief Writes one object; with a version only if that is the present one.
+  /// @brief Writes an object. If it has a version, the write fails unless that is the current one.
   virtual Awaitable<std::variant<StoredObject, StoreError>> Put(std::string kind,
                                                                 StoredObject object) = 0;
   virtual Awaitable<std::variant<std::monostate, StoreError>> Delete(std::string kind,
                                                                      std::string name) = 0;
 
-  /// @brief Another process has heard that the store's era has risen: watches that go on from a
-  /// revision of an older one end with kExpired.
+  /// @brief Reports that another process has seen a newer era of the store. Watches that continue
+  /// from a revision of an older era end with kExpired.
   virtual void NoteEra(std::uint64_t /*era*/) {}
 
-  /// @brief Reports changes after `version` until the watch ends; gives why it ended.
-  /// kNotFound is never given; an ordinary end gives kUnreachable with an empty message.
+  /// @brief Reports changes after `version` until the watch ends. Returns why it ended, never
+  /// kNotFound. A normal end returns kUnreachable with an empty message.
   virtual Awaitable<StoreError> Watch(std::string kind,
                                       StoreRevision version,
                                       std::function<void(WatchEvent)> on_event) = 0;
 };
 
-/// @brief Counts what the calls cost: called with verb, kind and the bytes both ways.
+/// @brief Called for each call with its verb, kind and the bytes sent and received.
 /// @ingroup store
 using CallObserver = std::function<void(std::string_view verb, std::string_view kind, std::size_t)>;
 
-/// @brief The object API over HTTP/JSON.
+/// @brief Creates a client of the object API over HTTP/JSON.
 /// @ingroup store
 std::unique_ptr<ObjectStore> MakeHttpObjectStore(asio::io_context& context,
                                                  std::string address,
@@ -133,15 +133,16 @@
                                                  Duration watch_time,
                                                  CallObserver observer);
 
-/// @brief How often and how long an unknown outcome is asked about.
+/// @brief Time limit and retry delay for confirming a write whose outcome is unknown.
 /// @ingroup store
 struct SettleTimes {
   Duration limit{3'000};
   Duration pause{100};
 };
 
-/// @brief A conditional write whose lost answer is settled by reading back the writer's token.
-/// Gives the object as stored, or why not; kUnknown only if the platform stayed silent.
+/// @brief Writes an object conditionally. If the response is lost, reads the object back and checks
+/// for the writer's token. Returns the stored object or an error; kUnknown only if the outcome
+/// could not be determined within the time limit.
 /// @ingroup store
 Awaitable<std::variant<StoredObject, StoreError>> PutSettled(asio::io_context& context,
                                                              ObjectStore& store,
--- a/include/rudderloom/store/store_follower.hpp
+++ b/include/rudderloom/store/store_follower.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Follows one kind of object: lists it, then watches it for as long as the process runs.
+/// Follows the objects of one kind: lists them, then watches for changes.
 #ifndef RUDDERLOOM_STORE_STORE_FOLLOWER_HPP
 #define RUDDERLOOM_STORE_STORE_FOLLOWER_HPP
 
@@ -13,33 +13,34 @@
 
 namespace rudderloom {
 
-/// @brief How often the platform is asked. May be changed while a kind is followed, on the thread
-/// of its io_context.
+/// @brief How often the platform is called. May be changed while a kind is followed, on the thread
+/// of the io_context.
 /// @ingroup store
 class FollowPace {
  public:
   explicit FollowPace(asio::io_context& context) : resumed_(context) {}
 
-  /// @brief Between two watches: changes that come together are read together.
+  /// @brief Minimum time between the starts of two watches. Batches changes that arrive in between.
   Duration least_between{0};
-  /// @brief How long a watch lasts that has nothing to report; empty: the store's own time.
+  /// @brief Duration of a watch without changes; empty: the default of the store.
   std::optional<Duration> watch_time;
 
-  /// @brief After so long a list follows a watch, in case one has left something out; empty: never.
+  /// @brief Interval at which objects are listed again, in case a watch missed a change; empty:
+  /// never.
   std::optional<Duration> list_every;
 
-  /// @brief After one list that succeeded, no call is made until `Resume`.
+  /// @brief Pause after the first successful list until `Resume` is called.
   bool once = false;
 
-  /// @brief No call is made from the end of the present one until `Resume`.
+  /// @brief Pauses after the current call until `Resume` is called.
   void Pause() { paused_ = true; }
 
-  /// @brief Goes on, with a list, as changes may have been missed.
+  /// @brief Continues with a list, because changes may have been missed.
   void Resume();
 
   bool Paused() const { return paused_; }
 
-  /// @brief Ends when there is no pause.
+  /// @brief Waits until following is not paused.
   Awaitable<void> WhilePaused();
 
  private:
@@ -47,30 +48,30 @@
   Timer resumed_;
 };
 
-/// @brief Which kind is followed, and how.
+/// @brief Options for following a kind.
 /// @ingroup store
 struct FollowOptions {
   std::string kind;
-  Backoff backoff;  ///< Between calls that failed.
+  Backoff backoff;  ///< Delay after failed calls.
   std::shared_ptr<FollowPace> pace;
-  /// @brief A kind of few, small objects. After a failure and after a pause a stale list of it
-  /// shows first whether the store answers: at a tenth of a call's price, and the list that follows
-  /// costs the rest only once. Nodes that were to list two kinds each 1.6 s while a store was down
-  /// for 9 s made up half of a day's calls. Empty: nothing is asked first.
+  /// @brief A kind with few, small objects. After a failure or a pause, a stale list of this kind
+  /// probes whether the store responds. It costs a tenth of a regular call, so an outage does not
+  /// cause a series of full lists: nodes that listed two kinds every 1.6 s during a store outage of
+  /// 9 s made half of the calls of a day. Empty: no probe.
   std::string probe_kind;
 };
 
-/// @brief What a follower reports.
+/// @brief Callbacks of a follower.
 /// @ingroup store
 struct FollowHooks {
   std::function<void(const ObjectList&)> on_list;
   std::function<void(const WatchEvent&)> on_event;  ///< Never a bookmark.
-  /// @brief A watch's answer was taken whole; it reaches up to this version.
+  /// @brief Called when all changes up to this version were received.
   std::function<void(const StoreRevision& version)> on_reached = [](const StoreRevision&) {};
   std::function<void(const StoreError&)> on_error;
 };
 
-/// @brief Runs until the io_context ends. A watch that failed starts again with a list.
+/// @brief Follows a kind until the io_context stops. Lists the objects again after a failed watch.
 /// @ingroup store
 Awaitable<void> FollowKind(asio::io_context& context,
                            ObjectStore& store,
--- a/src/rudderloom/configuration/configuration.cpp
+++ b/src/rudderloom/configuration/configuration.cpp
@@ -38,8 +38,8 @@
     }
   }
   auto catalog = ReadCatalog(configuration.sets);
-  if (auto* mistakes = std::get_if<JsonErrors>(&catalog)) {
-    errors.insert(errors.end(), mistakes->begin(), mistakes->end());
+  if (auto* nested_errors = std::get_if<JsonErrors>(&catalog)) {
+    errors.insert(errors.end(), nested_errors->begin(), nested_errors->end());
   }
   if (!errors.empty()) {
     return errors;
--- a/src/rudderloom/configuration/declarations.cpp
+++ b/src/rudderloom/configuration/declarations.cpp
@@ -10,11 +10,11 @@
 
 namespace {
 
-constexpr std::int64_t kMostCopies = 10'000;
-constexpr std::int64_t kLeastUrgent = 9;
-constexpr std::array kLists{"models", "adapters", "services", "kinds", "serving_events"};
+constexpr std::int64_t kMaxCopies = 10'000;
+constexpr std::int64_t kLowestPriority = 9;
+constexpr std::array kListNames{"models", "adapters", "services", "kinds", "serving_events"};
 
-// Reads the sets one after the other into one catalog.
+// Builds one catalog from several sets.
 class CatalogReader {
  public:
   explicit CatalogReader(JsonErrors& errors) : errors_(errors) {}
@@ -52,9 +52,9 @@
   std::string ReadName(ObjectReader& item, const std::string& group) {
     std::string name = item.String("name");
     if (name.find_first_of("@/ \t\n\"") != std::string::npos) {
-      item.Fail("name", "\"" + name + "\" has a blank, a quote, '@' or '/'");
+      item.Fail("name", "\"" + name + "\" contains whitespace, a quote, '@' or '/'");
     }
-    // Adapters are named as models are, so the two share their names.
+    // Models and adapters share one namespace, because callers request both by model name.
     if (!name.empty() && !names_.insert(group + " " + name).second) {
       item.Fail("name", "\"" + name + "\" is declared twice");
     }
@@ -67,7 +67,7 @@
     model.version = item.String("version");
     model.pool = item.String("pool");
     model.memory = item.Size("memory");
-    model.copies = item.Integer("copies", 1, kMostCopies, 1);
+    model.copies = item.Integer("copies", 1, kMaxCopies, 1);
     catalog_.models[model.name] = model;
   }
 
@@ -97,7 +97,7 @@
   void ReadKind(ObjectReader& item) {
     RequestKind kind;
     kind.name = ReadName(item, "kind");
-    kind.priority = item.Integer("priority", 0, kLeastUrgent);
+    kind.priority = item.Integer("priority", 0, kLowestPriority);
     kind.deadline = item.Time("deadline", kind.deadline);
     catalog_.kinds[kind.name] = kind;
   }
@@ -116,14 +116,14 @@
     item.Objects("needs", [&](ObjectReader& nested) {
       EventNeed need;
       need.name = nested.String("name");
-      need.copies = nested.Integer("copies", 1, kMostCopies, 1);
+      need.copies = nested.Integer("copies", 1, kMaxCopies, 1);
       unit_references_.emplace_back(nested.Path() + "/name", need.name);
       event.needs.push_back(need);
     });
     item.Objects("priorities", [&](ObjectReader& nested) {
       const std::string kind = nested.String("kind");
       kind_references_.emplace_back(nested.Path() + "/kind", kind);
-      event.priorities[kind] = nested.Integer("priority", 0, kLeastUrgent);
+      event.priorities[kind] = nested.Integer("priority", 0, kLowestPriority);
     });
     catalog_.events[event.name] = event;
   }
@@ -168,13 +168,13 @@
   JsonErrors errors;
   for (const DeclarationFile& file : files) {
     auto parsed = ParseJsonObject(file.text, file.name);
-    if (auto* mistakes = std::get_if<JsonErrors>(&parsed)) {
-      errors.insert(errors.end(), mistakes->begin(), mistakes->end());
+    if (auto* nested_errors = std::get_if<JsonErrors>(&parsed)) {
+      errors.insert(errors.end(), nested_errors->begin(), nested_errors->end());
       continue;
     }
     for (const auto& member : std::get<json::object>(parsed)) {
       const std::string key(member.key());
-      const bool known = std::find(kLists.begin(), kLists.end(), key) != kLists.end();
+      const bool known = std::find(kListNames.begin(), kListNames.end(), key) != kListNames.end();
       if (!known || !member.value().is_array()) {
         errors.push_back({file.name + "/" + key, known ? "is not a list" : "is not a known key"});
         continue;
--- a/src/rudderloom/operators/configuration_change.cpp
+++ b/src/rudderloom/operators/configuration_change.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-constexpr std::string_view kCurrent = "current";
-constexpr SettleTimes kSettle{Duration(4'000), Duration(100)};
+constexpr std::string_view kObjectName = "current";
+constexpr SettleTimes kConfirmTimes{Duration(4'000), Duration(100)};
 
 }  // namespace
 
@@ -35,14 +35,14 @@
     after.sets.erase(apply.set);
   } else {
     auto merged = MergeFiles(apply.files);
-    if (auto* mistakes = std::get_if<JsonErrors>(&merged)) {
-      return std::move(*mistakes);
+    if (auto* validation_errors = std::get_if<JsonErrors>(&merged)) {
+      return std::move(*validation_errors);
     }
     after.sets[apply.set] = std::get<DeclarationSet>(merged);
   }
   auto catalog = ReadCatalog(after.sets);
-  if (auto* mistakes = std::get_if<JsonErrors>(&catalog)) {
-    return std::move(*mistakes);
+  if (auto* validation_errors = std::get_if<JsonErrors>(&catalog)) {
+    return std::move(*validation_errors);
   }
   after.catalog = std::move(std::get<Catalog>(catalog));
   return after;
@@ -53,59 +53,60 @@
                                            std::function<void(ConfigurationPtr)> accepted)
     : context_(context), store_(store), accepted_(std::move(accepted)) {}
 
-Awaitable<std::variant<ConfigurationChanger::Present, ChangeResult>>
-ConfigurationChanger::ReadPresent() {
-  auto got = co_await store_.Get(std::string(object_kind::kConfigurations), std::string(kCurrent));
-  Present present;
-  if (auto* object = std::get_if<StoredObject>(&got)) {
+Awaitable<std::variant<ConfigurationChanger::StoredConfiguration, ChangeResult>>
+ConfigurationChanger::ReadStored() {
+  auto fetched =
+      co_await store_.Get(std::string(object_kind::kConfigurations), std::string(kObjectName));
+  StoredConfiguration stored;
+  if (auto* object = std::get_if<StoredObject>(&fetched)) {
     auto read = ConfigurationFromJson(object->spec);
-    if (auto* mistakes = std::get_if<JsonErrors>(&read)) {
-      co_return ChangeResult(ChangeInvalid{std::move(*mistakes)});
+    if (auto* validation_errors = std::get_if<JsonErrors>(&read)) {
+      co_return ChangeResult(ChangeInvalid{std::move(*validation_errors)});
     }
-    present.configuration = std::move(std::get<Configuration>(read));
-    present.object = std::move(*object);
-    co_return present;
+    stored.configuration = std::move(std::get<Configuration>(read));
+    stored.object = std::move(*object);
+    co_return stored;
   }
-  const StoreError& error = std::get<StoreError>(got);
+  const StoreError& error = std::get<StoreError>(fetched);
   if (error.kind != StoreError::Kind::kNotFound) {
     co_return ChangeResult(ChangeUnreachable{std::string(NameOf(error.kind))});
   }
-  present.object.name = kCurrent;
-  present.object.version = kMustNotExist;
-  co_return present;
+  stored.object.name = kObjectName;
+  stored.object.version = kMustNotExist;
+  co_return stored;
 }
 
 Awaitable<ChangeResult> ConfigurationChanger::Make(ChangeRequest request) {
-  auto read = co_await ReadPresent();
+  auto read = co_await ReadStored();
   if (auto* refused = std::get_if<ChangeResult>(&read)) {
     co_return std::move(*refused);
   }
-  Present present = std::move(std::get<Present>(read));
-  const std::uint64_t generation = present.configuration.generation;
-  if (present.object.WrittenBy(request.token)) {
+  StoredConfiguration stored = std::move(std::get<StoredConfiguration>(read));
+  const std::uint64_t generation = stored.configuration.generation;
+  if (stored.object.WrittenBy(request.token)) {
     co_return ChangeAccepted{generation};
   }
   if (generation != request.expected_generation) {
-    co_return ChangeConflict{generation, present.configuration.author};
+    co_return ChangeConflict{generation, stored.configuration.author};
   }
-  auto changed = Changed(present.configuration, request);
-  if (auto* mistakes = std::get_if<JsonErrors>(&changed)) {
-    co_return ChangeInvalid{std::move(*mistakes)};
+  auto changed = Changed(stored.configuration, request);
+  if (auto* validation_errors = std::get_if<JsonErrors>(&changed)) {
+    co_return ChangeInvalid{std::move(*validation_errors)};
   }
   Configuration after = std::move(std::get<Configuration>(changed));
-  if (after.sets == present.configuration.sets && after.drained == present.configuration.drained) {
+  if (after.sets == stored.configuration.sets && after.drained == stored.configuration.drained) {
     co_return ChangeUnchanged{generation};
   }
-  co_return co_await Write(std::move(present), std::move(after), std::move(request));
+  co_return co_await Write(std::move(stored), std::move(after), std::move(request));
 }
 
-Awaitable<ChangeResult> ConfigurationChanger::Write(Present present,
+Awaitable<ChangeResult> ConfigurationChanger::Write(StoredConfiguration stored,
                                                     Configuration changed,
                                                     ChangeRequest request) {
-  StoredObject object = std::move(present.object);
+  StoredObject object = std::move(stored.object);
   object.spec = ToJson(changed);
   auto written = co_await PutSettled(context_, store_, std::string(object_kind::kConfigurations),
-                                     std::move(object), request.token, kSettle);
+                                     std::move(object), request.token, kConfirmTimes);
   if (std::holds_alternative<StoredObject>(written)) {
     const std::uint64_t generation = changed.generation;
     LogLine("configuration_accepted").With("generation", generation).With("author", request.author);
@@ -115,17 +116,18 @@
   const StoreError error = std::get<StoreError>(written);
   switch (error.kind) {
     case StoreError::Kind::kConflict: {
-      auto winner = co_await ReadPresent();
-      if (auto* refused = std::get_if<ChangeResult>(&winner)) {
+      auto reread = co_await ReadStored();
+      if (auto* refused = std::get_if<ChangeResult>(&reread)) {
         co_return std::move(*refused);
       }
-      const Configuration& won = std::get<Present>(winner).configuration;
-      co_return ChangeConflict{won.generation, won.author};
+      const Configuration& current = std::get<StoredConfiguration>(reread).configuration;
+      co_return ChangeConflict{current.generation, current.author};
     }
     case StoreError::Kind::kRefused: {
-      JsonErrors mistakes;
-      mistakes.push_back({"/", "the platform refused it: " + error.message});
-      co_return ChangeInvalid{std::move(mistakes)};
+      JsonErrors validation_errors;
+      validation_errors.push_back(
+          {"/", "the platform rejected the configuration: " + error.message});
+      co_return ChangeInvalid{std::move(validation_errors)};
     }
     case StoreError::Kind::kUnknown:
       co_return ChangeUnknown{request.token};
--- a/src/rudderloom/operators/configuration_change_test.cpp
+++ b/src/rudderloom/operators/configuration_change_test.cpp
@@ -14,8 +14,8 @@
 using fakes::RunCoroutine;
 using fakes::WriteFault;
 
-struct Operator {
-  explicit Operator(FakePlatform& platform)
+struct TestOperator {
+  explicit TestOperator(FakePlatform& platform)
       : store(platform),
         changer(context, store, [this](ConfigurationPtr accepted) { last = std::move(accepted); }) {
   }
@@ -36,9 +36,9 @@
 
 }  // namespace
 
-TEST_CASE("a change is accepted, and the same change again is unchanged") {
+TEST_CASE("a change is accepted, and a repetition is reported as unchanged") {
   FakePlatform platform;
-  Operator ada(platform);
+  TestOperator ada(platform);
   const auto first = ada.Drain("ep1", 0, "ada", "t1");
   REQUIRE(std::holds_alternative<ChangeAccepted>(first));
   CHECK(std::get<ChangeAccepted>(first).generation == 1);
@@ -46,10 +46,10 @@
   CHECK(std::holds_alternative<ChangeUnchanged>(ada.Drain("ep1", 1, "ada", "t2")));
 }
 
-TEST_CASE("operators race: exactly one wins, the other hears who did") {
+TEST_CASE("operators race: exactly one change wins, and the other author is told whose") {
   FakePlatform platform;
-  Operator ada(platform);
-  Operator bob(platform);
+  TestOperator ada(platform);
+  TestOperator bob(platform);
   bool raced = false;
   platform.before_write = [&](const std::string&, const StoredObject&) {
     if (!raced) {
@@ -61,7 +61,7 @@
   REQUIRE(std::holds_alternative<ChangeConflict>(lost));
   CHECK(std::get<ChangeConflict>(lost).author == "bob");
   CHECK(std::get<ChangeConflict>(lost).generation == 1);
-  // Also when the race is over before the change is made.
+  // A change that is made after the race has ended also gets a conflict.
   const auto late = ada.Drain("ep1", 0, "ada", "t3");
   REQUIRE(std::holds_alternative<ChangeConflict>(late));
   fakes::ProvedCell("configuration written", "operators racing", "operators race");
@@ -72,17 +72,17 @@
   platform.write_fault = [](std::uint64_t number) {
     return number == 1 ? WriteFault::kLostAfter : WriteFault::kNone;
   };
-  Operator ada(platform);
+  TestOperator ada(platform);
   const auto result = ada.Drain("ep1", 0, "ada", "t1");
   REQUIRE(std::holds_alternative<ChangeAccepted>(result));
   CHECK(std::get<ChangeAccepted>(result).generation == 1);
   fakes::ProvedCell("configuration written", "platform losing its answer", "a lost answer");
 }
 
-TEST_CASE("a lost answer while another operator goes on: it was accepted, and is not made twice") {
+TEST_CASE("a lost answer while another operator goes on: the change is accepted and applied once") {
   FakePlatform platform;
-  Operator ada(platform);
-  Operator bob(platform);
+  TestOperator ada(platform);
+  TestOperator bob(platform);
   platform.write_fault = [&](std::uint64_t number) {
     if (number == 1) {
       return WriteFault::kLostAfter;
@@ -98,24 +98,24 @@
                     "a lost answer while another operator goes on");
 }
 
-TEST_CASE("a change lost before its effect is made once") {
+TEST_CASE("a change lost before it took effect is retried and applied once") {
   for (const auto fault :
        {WriteFault::kLostBefore, WriteFault::kThrottled, WriteFault::kUnreachable}) {
     FakePlatform platform;
     platform.write_fault = [fault](std::uint64_t number) {
       return number <= 2 ? fault : WriteFault::kNone;
     };
-    Operator ada(platform);
+    TestOperator ada(platform);
     CHECK(std::holds_alternative<ChangeAccepted>(ada.Drain("ep1", 0, "ada", "t1")));
     CHECK(platform.version == 1);
   }
   fakes::ProvedCell("configuration written", "platform answering 5xx", "a change lost before");
 }
 
-TEST_CASE("an outage is told as what it is: nothing changed, or unknown and how to ask again") {
+TEST_CASE("an outage is told as what it is: unreachable, or unknown with a token for the retry") {
   FakePlatform platform;
   platform.down = true;
-  Operator ada(platform);
+  TestOperator ada(platform);
   CHECK(std::holds_alternative<ChangeUnreachable>(ada.Drain("ep1", 0, "ada", "t1")));
   platform.down = false;
   platform.write_fault = [](std::uint64_t number) {
@@ -124,7 +124,7 @@
   const auto unknown = ada.Drain("ep1", 0, "ada", "t2");
   REQUIRE(std::holds_alternative<ChangeUnknown>(unknown));
   CHECK(std::get<ChangeUnknown>(unknown).token == "t2");
-  // Asked again with its token, it turns out to have been made.
+  // The retry with the same token shows that the change took effect.
   platform.write_fault = nullptr;
   const auto settled = ada.Drain("ep1", 0, "ada", "t2");
   REQUIRE(std::holds_alternative<ChangeAccepted>(settled));
@@ -134,9 +134,9 @@
                     "an outage is told as what it is");
 }
 
-TEST_CASE("a change that makes no sense changes nothing") {
+TEST_CASE("an invalid change is rejected without a write") {
   FakePlatform platform;
-  Operator ada(platform);
+  TestOperator ada(platform);
   ChangeRequest request;
   request.token = "t1";
   request.what = ApplySet{"set", {{"a.json", R"({"adapters": [{"name": "a"}]})"}}};
--- a/src/rudderloom/store/call_tally.cpp
+++ b/src/rudderloom/store/call_tally.cpp
@@ -6,8 +6,9 @@
 
 namespace {
 
-// Short enough to tell a start from a takeover, long enough to cost little where calls are few.
-constexpr Duration kLogEvery{2'000};
+// Short enough to distinguish the calls of a start from those of a takeover, long enough to keep
+// the log small when there are few calls.
+constexpr Duration kLogInterval{2'000};
 
 }  // namespace
 
@@ -15,7 +16,7 @@
   std::string call(verb);
   call.append("_").append(kind);
   ++calls_[call];
-  if (now - logged_at_ >= kLogEvery) {
+  if (now - logged_at_ >= kLogInterval) {
     Log();
     logged_at_ = now;
   }
--- a/src/rudderloom/store/object_store.cpp
+++ b/src/rudderloom/store/object_store.cpp
@@ -13,11 +13,11 @@
 
 namespace {
 
-constexpr std::string_view kRoot = "/apis/rudderloom/v1/";
+constexpr std::string_view kApiRoot = "/apis/rudderloom/v1/";
 constexpr std::string_view kWritersKey = "rudderloom/writers";
-constexpr std::size_t kWritersKept = 16;
+constexpr std::size_t kMaxWriters = 16;
 
-StoreError ErrorOf(const HttpResponse& response) {
+StoreError ToStoreError(const HttpResponse& response) {
   using Kind = StoreError::Kind;
   const std::string message = "status " + std::to_string(response.result_int());
   switch (response.result_int()) {
@@ -34,13 +34,14 @@
     case 422:
       return {Kind::kRefused, message};
     default:
-      // A 5xx may come from something before the platform as well as after the effect.
+      // A 5xx may come from a proxy in front of the platform or be sent after the write took
+      // effect.
       return {Kind::kUnknown, message};
   }
 }
 
-// This platform tells no era.
-StoreRevision VersionOf(const json::object& metadata) {
+// This platform has no eras.
+StoreRevision ReadVersion(const json::object& metadata) {
   const std::string text = TextAt(metadata, "resourceVersion");
   std::uint64_t number = 0;
   std::from_chars(text.data(), text.data() + text.size(), number);
@@ -57,7 +58,7 @@
   return writers;
 }
 
-StoredObject ObjectOf(const json::value& value) {
+StoredObject ParseObject(const json::value& value) {
   StoredObject object;
   if (!value.is_object()) {
     return object;
@@ -65,13 +66,13 @@
   const json::value* metadata = value.as_object().if_contains("metadata");
   if (metadata != nullptr && metadata->is_object()) {
     const json::object& members = metadata->as_object();
-    object.version = VersionOf(members);
+    object.version = ReadVersion(members);
     if (const json::value* name = members.if_contains("name"); name && name->is_string()) {
       object.name = std::string(name->as_string());
     }
-    const json::value* notes = members.if_contains("annotations");
-    if (notes != nullptr && notes->is_object()) {
-      const json::value* writers = notes->as_object().if_contains(kWritersKey);
+    const json::value* object_annotations = members.if_contains("annotations");
+    if (object_annotations != nullptr && object_annotations->is_object()) {
+      const json::value* writers = object_annotations->as_object().if_contains(kWritersKey);
       if (writers != nullptr && writers->is_string()) {
         object.writers = SplitWriters(std::string_view(writers->as_string()));
       }
@@ -84,7 +85,7 @@
   return object;
 }
 
-std::string TextOf(const StoredObject& object) {
+std::string SerializeObject(const StoredObject& object) {
   std::string writers;
   for (const std::string& writer : object.writers) {
     writers += (writers.empty() ? "" : ",") + writer;
@@ -96,22 +97,22 @@
   return json::serialize(json::object{{"metadata", metadata}, {"spec", object.spec}});
 }
 
-// Cuts the body of a watch into lines and turns each into an event.
-class WatchLines {
+// Splits the body of a watch response into lines and parses each as an event.
+class WatchLineParser {
  public:
-  void Feed(std::string_view piece, const std::function<void(WatchEvent)>& on_event) {
-    text_ += piece;
+  void Feed(std::string_view chunk, const std::function<void(WatchEvent)>& on_event) {
+    text_ += chunk;
     std::size_t start = 0;
     for (std::size_t end = text_.find('\n'); end != std::string::npos;
          end = text_.find('\n', start)) {
-      Emit(std::string_view(text_).substr(start, end - start), on_event);
+      EmitEvent(std::string_view(text_).substr(start, end - start), on_event);
       start = end + 1;
     }
     text_.erase(0, start);
   }
 
  private:
-  static void Emit(std::string_view line, const std::function<void(WatchEvent)>& on_event) {
+  static void EmitEvent(std::string_view line, const std::function<void(WatchEvent)>& on_event) {
     json::error_code error;
     const json::value value = json::parse({line.data(), line.size()}, error);
     if (error || !value.is_object()) {
@@ -123,7 +124,7 @@
       return;
     }
     WatchEvent event;
-    event.object = ObjectOf(*object);
+    event.object = ParseObject(*object);
     if (type->as_string() == "DELETED") {
       event.kind = WatchEvent::Kind::kGone;
     } else if (type->as_string() != "BOOKMARK") {
@@ -157,7 +158,7 @@
     if (auto* error = std::get_if<StoreError>(&answer)) {
       co_return std::move(*error);
     }
-    co_return ObjectOf(std::get<json::value>(answer));
+    co_return ParseObject(std::get<json::value>(answer));
   }
 
   Awaitable<std::variant<ObjectList, StoreError>> List(std::string kind) override {
@@ -168,17 +169,17 @@
     ObjectList list;
     const json::value& value = std::get<json::value>(answer);
     if (!value.is_object()) {
-      co_return StoreError{StoreError::Kind::kUnknown, "not a list"};
+      co_return StoreError{StoreError::Kind::kUnknown, "response is not a list of objects"};
     }
     const json::value* items = value.as_object().if_contains("items");
     if (items != nullptr && items->is_array()) {
       for (const json::value& item : items->as_array()) {
-        list.objects.push_back(ObjectOf(item));
+        list.objects.push_back(ParseObject(item));
       }
     }
     const json::value* metadata = value.as_object().if_contains("metadata");
     if (metadata != nullptr && metadata->is_object()) {
-      list.version = VersionOf(metadata->as_object());
+      list.version = ReadVersion(metadata->as_object());
     }
     co_return list;
   }
@@ -188,11 +189,11 @@
     const bool create = object.version == kMustNotExist;
     const std::string name = object.name;
     auto answer = co_await Call(create ? "create" : "update", http::verb::put, kind, "/" + name,
-                                TextOf(object));
+                                SerializeObject(object));
     if (auto* error = std::get_if<StoreError>(&answer)) {
       co_return std::move(*error);
     }
-    co_return ObjectOf(std::get<json::value>(answer));
+    co_return ParseObject(std::get<json::value>(answer));
   }
 
   Awaitable<std::variant<std::monostate, StoreError>> Delete(std::string kind,
@@ -208,13 +209,14 @@
                               StoreRevision version,
                               std::function<void(WatchEvent)> on_event) override {
     const std::string target =
-        std::string(kRoot) + kind +
+        std::string(kApiRoot) + kind +
         "?watch=1&allowWatchBookmarks=true&resourceVersion=" + std::to_string(version.Number()) +
         "&timeoutSeconds=" + std::to_string(watch_time_.count() / 1000);
     observer_("watch", kind, target.size());
     HttpRequest request = MakeRequest(http::verb::get, address_, target);
     CallTimes times = times_;
-    // Bookmarks come every few seconds, so a watch that is silent for long is dead.
+    // Bookmarks arrive every few seconds, so a watch that receives nothing for this long has
+    // failed.
     times.between = watch_time_;
     auto opened = co_await client_.Open(address_, std::move(request), times, Reuse::kNever);
     if (auto* failure = std::get_if<HttpFailure>(&opened)) {
@@ -224,20 +226,20 @@
     if (stream->Status() != 200) {
       HttpResponse response;
       response.result(stream->Status());
-      co_return ErrorOf(response);
+      co_return ToStoreError(response);
     }
-    WatchLines lines;
+    WatchLineParser line_parser;
     while (true) {
-      auto piece = co_await stream->ReadSome();
-      if (auto* failure = std::get_if<HttpFailure>(&piece)) {
+      auto chunk = co_await stream->ReadSome();
+      if (auto* failure = std::get_if<HttpFailure>(&chunk)) {
         co_return StoreError{StoreError::Kind::kUnreachable, failure->message};
       }
-      if (std::holds_alternative<HttpStream::End>(piece)) {
+      if (std::holds_alternative<HttpStream::End>(chunk)) {
         co_return StoreError{StoreError::Kind::kUnreachable, ""};
       }
-      const std::string& text = std::get<std::string>(piece);
+      const std::string& text = std::get<std::string>(chunk);
       observer_("watch_bytes", kind, text.size());
-      lines.Feed(text, on_event);
+      line_parser.Feed(text, on_event);
     }
   }
 
@@ -247,7 +249,7 @@
                                                         std::string kind,
                                                         std::string suffix,
                                                         std::string body) {
-    const std::string target = std::string(kRoot) + kind + suffix;
+    const std::string target = std::string(kApiRoot) + kind + suffix;
     const std::size_t sent = body.size();
     HttpRequest request = MakeRequest(method, address_, target, std::move(body));
     const Reuse reuse = method == http::verb::get ? Reuse::kAllowed : Reuse::kNever;
@@ -261,12 +263,12 @@
     const HttpResponse& response = std::get<HttpResponse>(answer);
     observer_(verb, kind, sent + response.body().size());
     if (response.result_int() >= 300) {
-      co_return ErrorOf(response);
+      co_return ToStoreError(response);
     }
     json::error_code error;
     json::value value = json::parse(response.body(), error);
     if (error) {
-      co_return StoreError{StoreError::Kind::kUnknown, "answer is not JSON"};
+      co_return StoreError{StoreError::Kind::kUnknown, "response is not valid JSON"};
     }
     co_return value;
   }
@@ -321,11 +323,11 @@
                                                              SettleTimes times) {
   using Kind = StoreError::Kind;
   object.writers.insert(object.writers.begin(), token);
-  if (object.writers.size() > kWritersKept) {
-    object.writers.resize(kWritersKept);
+  if (object.writers.size() > kMaxWriters) {
+    object.writers.resize(kMaxWriters);
   }
-  const TimePoint until = Now() + times.limit;
-  bool in_doubt = false;
+  const TimePoint give_up_at = Now() + times.limit;
+  bool outcome_uncertain = false;
   while (true) {
     StoredObject attempt = object;
     auto written = co_await store.Put(kind, std::move(attempt));
@@ -333,8 +335,8 @@
       co_return written;
     }
     StoreError error = std::get<StoreError>(written);
-    // A conflict after a lost answer may be with our own write: its token tells.
-    if (error.kind == Kind::kConflict && in_doubt) {
+    // After a lost response, a conflict may be caused by this own write; its token shows that.
+    if (error.kind == Kind::kConflict && outcome_uncertain) {
       auto present = co_await store.Get(kind, object.name);
       if (auto* found = std::get_if<StoredObject>(&present)) {
         if (found->WrittenBy(token)) {
@@ -344,11 +346,11 @@
       }
       error.kind = Kind::kUnknown;
     }
-    in_doubt = in_doubt || error.kind == Kind::kUnknown;
-    const bool try_again = error.kind == Kind::kUnknown || error.kind == Kind::kThrottled ||
-                           error.kind == Kind::kUnreachable;
-    if (!try_again || Now() + times.pause >= until) {
-      if (in_doubt) {
+    outcome_uncertain = outcome_uncertain || error.kind == Kind::kUnknown;
+    const bool is_retryable = error.kind == Kind::kUnknown || error.kind == Kind::kThrottled ||
+                              error.kind == Kind::kUnreachable;
+    if (!is_retryable || Now() + times.pause >= give_up_at) {
+      if (outcome_uncertain) {
         error.kind = Kind::kUnknown;
       }
       co_return error;
--- a/src/rudderloom/store/store_follower.cpp
+++ b/src/rudderloom/store/store_follower.cpp
@@ -28,30 +28,30 @@
       if (options_.pace->Paused()) {
         co_await options_.pace->WhilePaused();
         version_.reset();
-        probes_ = true;
+        must_probe_ = true;
       }
-      if (probes_ && !options_.probe_kind.empty()) {
-        const bool answers = co_await Answers();
-        if (!answers) {
+      if (must_probe_ && !options_.probe_kind.empty()) {
+        const bool responds = co_await ProbeStore();
+        if (!responds) {
           co_await PauseFor(context_, options_.backoff.Next());
           continue;
         }
       }
-      probes_ = false;
+      must_probe_ = false;
       if (options_.pace->list_every && Now() - listed_at_ >= *options_.pace->list_every) {
         version_.reset();
       }
-      const bool fine = !version_ ? co_await List() : co_await Watch();
-      if (!fine) {
+      const bool succeeded = !version_ ? co_await List() : co_await Watch();
+      if (!succeeded) {
         co_await PauseFor(context_, options_.backoff.Next());
-        probes_ = true;
+        must_probe_ = true;
       }
     }
   }
 
  private:
-  // Finds out at little cost whether the store answers.
-  Awaitable<bool> Answers() {
+  // Checks with a cheap call whether the store responds.
+  Awaitable<bool> ProbeStore() {
     auto listed = co_await store_.ListStale(options_.probe_kind);
     auto* error = std::get_if<StoreError>(&listed);
     if (error != nullptr) {
@@ -79,19 +79,21 @@
 
   Awaitable<bool> Watch() {
     const TimePoint started = Now();
-    std::function<void(WatchEvent)> on_event = [this](const WatchEvent& event) { Take(event); };
+    std::function<void(WatchEvent)> on_event = [this](const WatchEvent& event) {
+      HandleEvent(event);
+    };
     const StoreError ended = co_await WatchOnce(std::move(on_event));
     if (!ended.message.empty()) {
-      // A watch that goes on from before a cut may stay silent although its history is gone, so
-      // whatever ended it, a list tells what is so.
+      // A watch resumed after a lost connection may report nothing although its history was
+      // deleted, so objects are listed again after any error.
       version_.reset();
       hooks_.on_error(ended);
       co_return ended.kind == StoreError::Kind::kExpired;
     }
     options_.backoff.Reset();
-    const Duration took = Between(started, Now());
-    if (took < options_.pace->least_between) {
-      co_await PauseFor(context_, options_.pace->least_between - took);
+    const Duration elapsed = Between(started, Now());
+    if (elapsed < options_.pace->least_between) {
+      co_await PauseFor(context_, options_.pace->least_between - elapsed);
     }
     co_return true;
   }
@@ -104,7 +106,7 @@
     return store_.Watch(options_.kind, *version_, std::move(on_event));
   }
 
-  void Take(const WatchEvent& event) {
+  void HandleEvent(const WatchEvent& event) {
     version_ = event.object.version;
     if (event.kind == WatchEvent::Kind::kBookmark) {
       hooks_.on_reached(*version_);
@@ -117,9 +119,9 @@
   ObjectStore& store_;
   FollowOptions options_;
   FollowHooks hooks_;
-  std::optional<StoreRevision> version_;  // empty: a list is needed
+  std::optional<StoreRevision> version_;  // empty if a list is needed
   TimePoint listed_at_;
-  bool probes_ = false;  // the store may not answer
+  bool must_probe_ = false;  // the store may be unavailable
 };
 
 }  // namespace
--- a/src/rudderloom/store/store_follower_test.cpp
+++ b/src/rudderloom/store/store_follower_test.cpp
@@ -7,10 +7,10 @@
 namespace rudderloom {
 namespace {
 
-// Lists one object; its watches last some milliseconds and tell nothing.
-class QuietStore final : public ObjectStore {
+// A store without objects, whose watches end after a few milliseconds without changes.
+class IdleStore final : public ObjectStore {
  public:
-  explicit QuietStore(asio::io_context& context) : context_(context) {}
+  explicit IdleStore(asio::io_context& context) : context_(context) {}
 
   Awaitable<std::variant<StoredObject, StoreError>> Get(std::string, std::string) override {
     co_return StoreError{};
@@ -65,13 +65,13 @@
   asio::io_context& context_;
 };
 
-// A follower on the test's own thread.
-struct Following {
-  Following() : store(context), pace(std::make_shared<FollowPace>(context)) {
+// Runs a follower on the thread of the test.
+struct FollowerFixture {
+  FollowerFixture() : store(context), pace(std::make_shared<FollowPace>(context)) {
     FollowHooks hooks;
     hooks.on_list = [](const ObjectList&) {};
     hooks.on_event = [](const WatchEvent&) {};
-    hooks.on_reached = [this](const StoreRevision&) { ++reached; };
+    hooks.on_reached = [this](const StoreRevision&) { ++reached_count; };
     hooks.on_error = [](const StoreError&) {};
     FollowOptions options{"servers", Backoff(Duration(5), Duration(10), 1), pace, "small"};
     asio::co_spawn(context, FollowKind(context, store, std::move(options), std::move(hooks)),
@@ -86,65 +86,66 @@
   }
 
   asio::io_context context;
-  QuietStore store;
+  IdleStore store;
   std::shared_ptr<FollowPace> pace;
-  int reached = 0;
+  int reached_count = 0;
 };
 
-TEST_CASE("one list is followed by watches alone, each of which tells how far it reaches") {
-  Following following;
-  following.RunUntil([&] { return following.store.watches >= 5; });
-  CHECK(following.store.lists == 1);
-  CHECK(following.reached >= 4);
+TEST_CASE(
+    "a follower lists once, then watches, and reports the version that each watch has reached") {
+  FollowerFixture fixture;
+  fixture.RunUntil([&] { return fixture.store.watches >= 5; });
+  CHECK(fixture.store.lists == 1);
+  CHECK(fixture.reached_count >= 4);
 }
 
-TEST_CASE("a list follows a watch after the time that the pace asks for") {
-  Following following;
-  following.pace->list_every = Duration(20);
-  following.pace->watch_time = Duration(7);
-  following.RunUntil([&] { return following.store.lists >= 4; });
-  CHECK(following.store.watches >= 4);
-  CHECK(following.store.last_time == Duration(7));
+TEST_CASE("a follower lists again after the configured interval") {
+  FollowerFixture fixture;
+  fixture.pace->list_every = Duration(20);
+  fixture.pace->watch_time = Duration(7);
+  fixture.RunUntil([&] { return fixture.store.lists >= 4; });
+  CHECK(fixture.store.watches >= 4);
+  CHECK(fixture.store.last_time == Duration(7));
 }
 
-TEST_CASE("a paused follower calls nothing, and goes on with a list") {
-  Following following;
-  following.RunUntil([&] { return following.store.watches >= 2; });
-  following.pace->Pause();
-  // The watch that was under way ends; then nothing is left to run but the timer below.
-  Timer timer(following.context, std::chrono::milliseconds(60));
-  bool over = false;
-  timer.async_wait([&](boost::system::error_code) { over = true; });
-  following.RunUntil([&] { return over; });
-  const int watches = following.store.watches;
+TEST_CASE("a paused follower makes no calls and lists again when resumed") {
+  FollowerFixture fixture;
+  fixture.RunUntil([&] { return fixture.store.watches >= 2; });
+  fixture.pace->Pause();
+  // The watch in progress ends; after that only this timer is left to run.
+  Timer timer(fixture.context, std::chrono::milliseconds(60));
+  bool timer_expired = false;
+  timer.async_wait([&](boost::system::error_code) { timer_expired = true; });
+  fixture.RunUntil([&] { return timer_expired; });
+  const int watches = fixture.store.watches;
   CHECK(watches <= 3);
-  CHECK(following.store.lists == 1);
-  following.pace->Resume();
-  following.RunUntil([&] { return following.store.watches > watches; });
-  CHECK(following.store.lists == 2);
+  CHECK(fixture.store.lists == 1);
+  fixture.pace->Resume();
+  fixture.RunUntil([&] { return fixture.store.watches > watches; });
+  CHECK(fixture.store.lists == 2);
 }
 
-TEST_CASE("a store that does not answer is asked at little cost until it does") {
-  Following following;
-  following.RunUntil([&] { return following.reached > 0; });
-  CHECK(following.store.probes == 0);
-  following.store.down = true;
-  following.pace->Pause();
-  following.context.run_for(std::chrono::milliseconds(30));
-  following.pace->Resume();
-  const int lists = following.store.lists;
-  following.RunUntil([&] { return following.store.probes >= 5; });
-  CHECK(following.store.lists == lists);
-  following.store.down = false;
-  following.RunUntil([&] { return following.store.lists > lists; });
-  CHECK(following.store.lists == lists + 1);
+TEST_CASE("an unavailable store is only probed until it responds") {
+  FollowerFixture fixture;
+  fixture.RunUntil([&] { return fixture.reached_count > 0; });
+  CHECK(fixture.store.probes == 0);
+  fixture.store.down = true;
+  fixture.pace->Pause();
+  fixture.context.run_for(std::chrono::milliseconds(30));
+  fixture.pace->Resume();
+  const int lists = fixture.store.lists;
+  fixture.RunUntil([&] { return fixture.store.probes >= 5; });
+  CHECK(fixture.store.lists == lists);
+  fixture.store.down = false;
+  fixture.RunUntil([&] { return fixture.store.lists > lists; });
+  CHECK(fixture.store.lists == lists + 1);
 }
 
-TEST_CASE("a first list that fails is tried again only once the store answers") {
-  Following following;
-  following.store.down = true;
-  following.RunUntil([&] { return following.store.probes >= 5; });
-  CHECK(following.store.lists == 1);
+TEST_CASE("a failed first list is retried only after a successful probe") {
+  FollowerFixture fixture;
+  fixture.store.down = true;
+  fixture.RunUntil([&] { return fixture.store.probes >= 5; });
+  CHECK(fixture.store.lists == 1);
 }
 
 }  // namespace
