--- a/include/rudderloom/forwarding/admission.hpp
+++ b/include/rudderloom/forwarding/admission.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Whether a request for a model is sent to run in turn, after all others, or not at all. Pure.
+/// Decides whether a request for a model is admitted, deferred behind all others or refused. Pure
+/// functions.
 #ifndef RUDDERLOOM_FORWARDING_ADMISSION_HPP
 #define RUDDERLOOM_FORWARDING_ADMISSION_HPP
 
@@ -11,45 +12,46 @@
 
 namespace rudderloom {
 
-/// @brief When the first event of a request would come from an endpoint, from when it is sent.
+/// @brief Forecast time from sending a request to an endpoint until its first event.
 /// @ingroup forwarding
 struct StartForecast {
-  Duration in_turn{0};     ///< Behind those that are not deferred.
-  Duration behind_all{0};  ///< Behind everything that is there.
+  Duration if_admitted{0};  ///< Queued behind the requests that are not deferred.
+  Duration if_deferred{0};  ///< Queued behind all requests at the endpoint.
 };
 
-/// @brief What is done with a request.
+/// @brief Outcome of the admission decision.
 /// @ingroup forwarding
 enum class Admission {
-  kInTurn,    ///< It can begin within its goal.
-  kDeferred,  ///< Too late for its goal: it may run where it delays nobody who is in time.
-  kRefused,   ///< Its client would have left before it began.
+  kAdmitted,  ///< The first event is expected within the route's goal.
+  kDeferred,  ///< The goal can't be met: runs only where it delays no request that is on time.
+  kRefused,   ///< The client would give up before the answer begins.
 };
 
-/// @brief How long a request waits for a place at an endpoint.
-/// @param ahead Requests there that hold a place or go first.
-/// @param hold How long each of them holds its place.
+/// @brief Estimates how long a request waits for a free slot at an endpoint.
+/// @param ahead Requests at the endpoint that hold a slot or are served first.
+/// @param hold_time How long each of them occupies its slot.
 /// @ingroup forwarding
-Duration WaitForPlace(std::uint32_t ahead, std::uint32_t slots, Duration hold);
+Duration EstimateSlotWait(std::uint32_t ahead, std::uint32_t slots, Duration hold_time);
 
-/// @brief Decides about a request.
+/// @brief Admits, defers or refuses a request.
 ///
-/// An endpoint with a full batch serves one request after the other, whoever comes: without this
-/// rule everybody is late as soon as more is asked for than it can do. With it, as many are in time
-/// as the endpoint can serve, and the others are told at once.
-/// @param spent Since the request came.
+/// An endpoint with a full batch serves requests one after another, whatever their goal. Without
+/// admission control, every request is late as soon as the load exceeds the endpoint's capacity.
+/// With it, as many requests are on time as the endpoint can serve, and the others are refused at
+/// once.
+/// @param spent Time since the request arrived.
 /// @ingroup forwarding
-Admission Admit(const StartForecast& forecast, const Route& route, Duration spent);
+Admission DecideAdmission(const StartForecast& forecast, const Route& route, Duration spent);
 
-/// @brief The urgency to hand to the endpoint, 0 first.
-/// @param priority The caller's rank; 0 is first.
-/// @param hold How long the request holds its place.
+/// @brief Returns the urgency to pass to the endpoint; 0 is served first.
+/// @param priority The caller's priority; 0 is the highest.
+/// @param hold_time How long the request occupies its slot.
 /// @ingroup forwarding
 std::uint32_t UrgencyOf(Admission admission,
                         const Route& route,
                         std::uint32_t priority,
                         const StartForecast& forecast,
-                        Duration hold,
+                        Duration hold_time,
                         Duration spent);
 
 }  // namespace rudderloom
--- a/include/rudderloom/forwarding/balancer.hpp
+++ b/include/rudderloom/forwarding/balancer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which endpoint a request goes to: by what it holds, what is kept of the prompt, and its load.
+/// Chooses the endpoint for a request by resident models, cached prompt prefixes and load.
 #ifndef RUDDERLOOM_FORWARDING_BALANCER_HPP
 #define RUDDERLOOM_FORWARDING_BALANCER_HPP
 
@@ -19,146 +19,148 @@
 
 namespace rudderloom {
 
-/// @brief What a request asks of the choice.
+/// @brief Constraints of one request on the choice of an endpoint.
 /// @ingroup forwarding
-struct BalancerAsk {
+struct BalancerQuery {
   const std::string& service;
   const RequestTerms& terms;
   const std::set<std::string>& excluded;  ///< Instances that failed this request.
-  const LimitWatch* limits = nullptr;     ///< Null: no endpoint has one.
-  bool skip_limited = false;              ///< Leaves endpoints with limits out.
+  const LimitWatch* limits = nullptr;     ///< Null when no endpoint has a rate limit.
+  bool skip_limited = false;              ///< Excludes endpoints with a rate limit.
 };
 
-/// @brief Why there is no endpoint for a request.
+/// @brief Why no endpoint can take a request.
 /// @ingroup forwarding
-enum class NoEndpoint {
-  kNone,         ///< The service has no endpoint that may get requests.
+enum class NoEndpointReason {
+  kNoEndpoints,  ///< The service has no endpoint that accepts requests.
   kNotResident,  ///< None of its endpoints holds the model or adapter.
-  kLimited,      ///< Those that could take it accept no more requests at present.
+  kRateLimited,  ///< The candidates have reached their rate limit.
 };
 
-/// @brief An endpoint that was chosen, and what the request adds to its load.
+/// @brief The chosen endpoint and the load that the request adds to it.
 /// @ingroup forwarding
-struct Choice {
-  std::uint32_t index = 0;  ///< Into the view's endpoints.
-  EndpointLoad added;
-  EndpointLoad load;              ///< Of the endpoint before, over all nodes, as far as known.
-  std::uint32_t holding = 0;      ///< Endpoints that could have taken the request.
-  bool others_unlimited = false;  ///< Some of the others have no limit.
-  StartForecast forecast;         ///< For requests of a model.
-  Duration hold{0};               ///< How long the request is going to hold its place.
+struct EndpointChoice {
+  std::uint32_t index = 0;  ///< Index into the view's endpoints.
+  EndpointLoad added_load;
+  EndpointLoad load;  ///< Load of the endpoint from all nodes before this request, as far as known.
+  std::uint32_t candidate_count = 0;       ///< Number of endpoints that could take the request.
+  bool has_unlimited_alternative = false;  ///< At least one other candidate has no rate limit.
+  StartForecast forecast;                  ///< Set for requests for a model.
+  Duration hold_time{0};                   ///< How long the request is expected to occupy its slot.
 };
 
-/// @brief How a request on an endpoint ended, as far as further choices go.
+/// @brief What the end of an attempt says about its endpoint, for later choices.
 /// @ingroup forwarding
-enum class AttemptMark {
+enum class EndpointFeedback {
   kServed,
-  kShed,     ///< The endpoint said that it is full or holds something else.
-  kFailed,   ///< It broke the connection, spoilt the answer or stayed silent.
-  kNeutral,  ///< Says nothing of the endpoint: the client left, for example.
+  kShed,     ///< The endpoint reported that it is full or does not serve the target.
+  kFailed,   ///< The endpoint broke the connection, sent an invalid answer or went silent.
+  kNeutral,  ///< Not attributable to the endpoint, for example when the client disconnected.
 };
 
-/// @brief Keeps this node's own counts by endpoint instance and chooses among them.
+/// @brief Tracks this node's requests per endpoint instance and chooses an endpoint for each
+/// request.
 ///
-/// What other nodes have at an endpoint is known from the holder of the lease, some 300 ms late. In
-/// that time all nodes would send to the endpoint that had least to do. The choice therefore
-/// reckons with the requests that have ended and come since, as many as the loads tell, and spreads
-/// its own over the endpoints that the new ones are expected to have gone to.
+/// Requests of other nodes are known from the lease holder about 300 ms late. If every node trusted
+/// these counts, all would send to the least loaded endpoint at once. The choice therefore
+/// estimates the requests that ended and arrived since, and spreads this node's requests over
+/// endpoints in proportion to the estimated arrivals.
 ///
-/// Pure but for its random numbers, which are seeded. Time is passed in.
+/// Deterministic for a given seed; the time is passed in.
 /// @ingroup forwarding
 class Balancer {
  public:
   Balancer(std::string availability_zone, std::uint64_t seed)
-      : zone_(std::move(availability_zone)), random_(seed) {}
+      : availability_zone_(std::move(availability_zone)), random_(seed) {}
 
-  /// @brief The endpoint to use, as an index into the view's list.
-  std::variant<Choice, NoEndpoint> Choose(const FleetView& view,
-                                          const BalancerAsk& ask,
-                                          TimePoint now);
+  /// @brief Chooses an endpoint, given as an index into the view's list.
+  std::variant<EndpointChoice, NoEndpointReason> Choose(const FleetView& view,
+                                                        const BalancerQuery& query,
+                                                        TimePoint now);
 
-  /// @brief Counts a request in.
+  /// @brief Records that a request was sent to an endpoint.
   void Started(const std::string& instance,
                const RequestTerms& terms,
-               const EndpointLoad& added,
+               const EndpointLoad& added_load,
                TimePoint now);
 
-  /// @brief The first of its answer came: its prompt is read, and it holds a place.
-  void Begun(const std::string& instance, EndpointLoad& added);
+  /// @brief Records the first event of the answer: the prompt has been read and the request holds a
+  /// slot.
+  void AnswerStarted(const std::string& instance, EndpointLoad& added_load);
 
-  /// @brief Counts a request out.
-  void Ended(const std::string& instance,
-             const EndpointLoad& added,
-             AttemptMark mark,
-             TimePoint now);
+  /// @brief Records that a request ended.
+  void RequestEnded(const std::string& instance,
+                    const EndpointLoad& added_load,
+                    EndpointFeedback feedback,
+                    TimePoint now);
 
-  /// @brief The endpoint said that it does not hold what the request asks for: lists of what
-  /// endpoints hold may be a second old, most of all where no holder of the lease is known.
-  void NotResident(const std::string& instance, const RequestTerms& terms, TimePoint now);
+  /// @brief Records that the endpoint denied holding the requested model or adapter. Lists of
+  /// resident models may be a second old, above all while no lease holder is known.
+  void MarkNotResident(const std::string& instance, const RequestTerms& terms, TimePoint now);
 
-  /// @brief This node's requests by endpoint.
+  /// @brief Returns the load of this node's requests by endpoint.
   LoadTable Loads() const;
 
-  /// @brief How long requests take, as this node has seen it.
+  /// @brief Service times observed by this node.
   ServiceTimes& Times() { return times_; }
   const ServiceTimes& Times() const { return times_; }
 
-  /// @brief Forgets endpoints that are no longer there.
+  /// @brief Drops state of endpoints that left the view, and expired entries.
   void Trim(const FleetView& view, TimePoint now);
 
  private:
   struct Endpoint {
     EndpointLoad load;
-    std::map<std::uint64_t, TimePoint> read_prompts;  // hash of a prompt's beginning: last used
-    std::map<std::string, TimePoint> absent_until;    // model/adapter: not asked for before
-    std::uint32_t failures = 0;                       // in a row
+    std::map<std::uint64_t, TimePoint> cached_prefixes;   // hash of a prompt prefix to its last use
+    std::map<std::string, TimePoint> not_resident_until;  // model/adapter to expiry
+    std::uint32_t consecutive_failures = 0;
     TimePoint avoid_until;
   };
 
-  // What the request would meet at an endpoint. Costs are in prompt tokens to be read before it.
+  // An endpoint that can take the request. Costs are in prompt tokens to be read before it.
   struct Candidate {
     std::uint32_t index = 0;
     EndpointLoad own;
-    EndpointLoad load;  // of all nodes
+    EndpointLoad load;  // from all nodes
     std::uint32_t slots = 1;
-    std::uint64_t unread_tokens = 0;  // of the request's own prompt
-    double fixed = 0.0;               // for its place, its failures and its listing
-    double affinity = 0.0;            // saved by what the endpoint has read already
-    std::uint32_t others_sent = 0;    // since the loads were told, as reckoned
-    bool limited = false;             // it accepts only so many requests a second
+    std::uint64_t unread_tokens = 0;  // of the prompt of this request
+    double base_cost = 0.0;        // for zone, recent failures, rate limit and last-resort listing
+    double affinity_tokens = 0.0;  // prompt tokens that the endpoint has likely cached
+    std::uint32_t expected_arrivals = 0;  // of other nodes since the loads were reported
+    bool rate_limited = false;            // has a limit on requests per second
   };
-  // What a model's requests take, in the same unit.
-  struct Weights {
-    bool engine = false;
-    Duration hold{0};  // of a usual request
+  // Cost parameters of the requests for a model, in the same unit.
+  struct RequestCosts {
+    bool is_model_request = false;
+    Duration hold_time{0};  // of a typical request
     double tokens_per_millisecond = 0.0;
     double prompt_tokens = 0.0;
   };
 
   struct Candidates {
     std::vector<Candidate> usable;
-    bool limit_reached = false;  // by some that were left out
+    bool any_rate_limited = false;  // an endpoint was excluded for its rate limit
   };
 
   Candidates FindCandidates(const FleetView& view,
-                            const BalancerAsk& ask,
+                            const BalancerQuery& query,
                             const std::vector<std::uint32_t>& listed,
                             TimePoint now);
-  double Cost(const Candidate& candidate, const Weights& weights) const;
-  void ReckonOthers(std::vector<Candidate>& candidates, const Weights& weights) const;
-  const Candidate& Pick(const std::vector<Candidate>& candidates, const Weights& weights);
-  StartForecast Forecast(const Candidate& candidate, const BalancerAsk& ask) const;
+  double Cost(const Candidate& candidate, const RequestCosts& costs) const;
+  void EstimateArrivals(std::vector<Candidate>& candidates, const RequestCosts& costs) const;
+  const Candidate& Pick(const std::vector<Candidate>& candidates, const RequestCosts& costs);
+  StartForecast Forecast(const Candidate& candidate, const BalancerQuery& query) const;
   std::uint64_t UnreadTokens(const Endpoint& endpoint, const RequestTerms& terms) const;
 
-  std::string zone_;
+  std::string availability_zone_;
   std::mt19937_64 random_;
   std::map<std::string, Endpoint> endpoints_;
   ServiceTimes times_;
 };
 
-/// @brief Hash of the first `count` parts of a prompt for one model and adapter.
+/// @brief Hashes the first `count` parts of a prompt, with the model and adapter.
 /// @ingroup forwarding
-std::uint64_t PromptHash(const RequestTerms& terms, std::size_t count);
+std::uint64_t PromptPrefixHash(const RequestTerms& terms, std::size_t count);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/forwarding/call_guard.hpp
+++ b/include/rudderloom/forwarding/call_guard.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Ends what a request waits for when its client leaves, its time is up or an endpoint is silent.
+/// Interrupts a request when its client disconnects, its deadline passes or its endpoint is silent.
 #ifndef RUDDERLOOM_FORWARDING_CALL_GUARD_HPP
 #define RUDDERLOOM_FORWARDING_CALL_GUARD_HPP
 
@@ -14,13 +14,13 @@
 
 namespace rudderloom {
 
-/// @brief Why a wait was ended from outside.
+/// @brief Why a request was interrupted.
 /// @ingroup forwarding
 enum class Interruption {
   kNone,
-  kClientGone,
-  kTimeUp,  ///< The client's deadline, the route's timeout, or the end of a planned stop.
-  kSilent,  ///< The endpoint gave nothing for too long.
+  kClientDisconnected,
+  kDeadlineExceeded,  ///< The client's deadline, the route's timeout, or the end of a planned stop.
+  kEndpointSilent,    ///< The endpoint sent nothing before the response deadline.
 };
 
 class CallGuard;
@@ -29,58 +29,58 @@
 /// @ingroup forwarding
 using CallGuards = std::set<CallGuard*>;
 
-/// @brief Watches over one request. One thread only.
+/// @brief Monitors one request and interrupts its pending operation. Not thread-safe.
 /// @ingroup forwarding
 class CallGuard {
  public:
   /// @param guards The set in which this guard is registered during its lifetime.
-  /// @param may_give_up Asked when an endpoint has been silent for too long; where it says no, the
-  /// endpoint is waited for on.
+  /// @param may_abandon_endpoint Called when the response deadline passes. If it returns false, the
+  /// request keeps waiting for the endpoint.
   CallGuard(asio::io_context& context,
             CallGuards& guards,
-            TimePoint time_up,
-            std::function<bool()> may_give_up);
+            TimePoint deadline_at,
+            std::function<bool()> may_abandon_endpoint);
   CallGuard(const CallGuard&) = delete;
   CallGuard& operator=(const CallGuard&) = delete;
   ~CallGuard();
 
-  /// @brief The connection to close at an interruption; null for none.
-  void Attach(EndpointConnection* connection);
+  /// @brief Sets the connection to close on an interruption; null for none.
+  void SetConnection(EndpointConnection* connection);
 
-  /// @brief The endpoint must give something before this moment; empty: no such limit.
-  void ExpectBefore(std::optional<TimePoint> moment);
+  /// @brief Sets the time by which the endpoint must send something; empty for no limit.
+  void SetResponseDeadline(std::optional<TimePoint> deadline);
 
-  /// @brief The client closed its connection.
-  void ClientGone();
+  /// @brief Interrupts the request because its client disconnected.
+  void ClientDisconnected();
 
   /// @brief Interrupts the request as if its deadline had passed.
-  void TimeUp();
+  void ExpireDeadline();
 
-  Interruption Why() const { return state_->why; }
+  Interruption Cause() const { return state_->cause; }
 
-  /// @brief Forgets a silence, before the next endpoint is tried.
-  void ForgetSilence();
+  /// @brief Clears an interruption for silence, before the next endpoint is tried.
+  void ClearSilence();
 
-  /// @brief Timer for other waits, cancelled at an interruption.
+  /// @brief Timer for other waits; cancelled on an interruption.
   Timer& WaitTimer() { return state_->wait_timer; }
 
  private:
   struct State {
     State(asio::io_context& context, TimePoint until)
-        : timer(context), wait_timer(context), time_up(until) {}
+        : timer(context), wait_timer(context), deadline_at(until) {}
     Timer timer;
     Timer wait_timer;
-    TimePoint time_up;
-    std::function<bool()> may_give_up;
-    std::optional<TimePoint> silent_at;
-    TimePoint armed_for;
+    TimePoint deadline_at;
+    std::function<bool()> may_abandon_endpoint;
+    std::optional<TimePoint> response_deadline;
+    TimePoint timer_expiry;
     EndpointConnection* connection = nullptr;
-    Interruption why = Interruption::kNone;
+    Interruption cause = Interruption::kNone;
     bool alive = true;
   };
 
   static void Arm(const std::shared_ptr<State>& state);
-  static void Interrupt(State& state, Interruption why);
+  static void Interrupt(State& state, Interruption cause);
 
   CallGuards& guards_;
   std::shared_ptr<State> state_;
--- a/include/rudderloom/forwarding/dialect.hpp
+++ b/include/rudderloom/forwarding/dialect.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// The words that forwarding needs from a client's request and an endpoint's answer, without the
-/// names that stand on the wire.
+/// Data that forwarding reads from client requests and endpoint answers, independent of the header
+/// names on the wire.
 #ifndef RUDDERLOOM_FORWARDING_DIALECT_HPP
 #define RUDDERLOOM_FORWARDING_DIALECT_HPP
 
@@ -16,63 +16,65 @@
 
 namespace rudderloom {
 
-/// @brief One part of a prompt; requests that begin with the same parts share their reading.
+/// @brief One part of a prompt. Requests that begin with the same parts can share cached prompt
+/// processing.
 /// @ingroup forwarding
 struct PromptPart {
   std::uint64_t id = 0;
   std::uint64_t tokens = 0;
 };
 
-/// @brief What a client's request says of itself.
+/// @brief Metadata of a client's request.
 /// @ingroup forwarding
 struct RequestTerms {
-  std::string id;                    ///< Of this attempt of the client.
-  std::optional<Duration> deadline;  ///< How long the client waits.
+  std::string id;                    ///< Identifies this attempt of the client.
+  std::optional<Duration> deadline;  ///< How long the client waits for the answer.
   std::string model;                 ///< Empty for a plain service.
-  std::string adapter;               ///< Of the model; empty for none.
+  std::string adapter;               ///< Adapter of the model; empty for none.
   std::uint64_t tokens_in = 0;
-  std::uint64_t tokens_out = 0;   ///< At most, or the client's guess where it gives one.
-  bool names_tokens = false;      ///< The request says how many tokens it takes.
-  std::uint64_t most_tokens = 0;  ///< Of the prompt and of the answer at most, where it says so.
+  std::uint64_t tokens_out = 0;   ///< Upper bound, or the client's estimate if it gives one.
+  bool names_tokens = false;      ///< True when the request declares its token counts.
+  std::uint64_t most_tokens = 0;  ///< Declared bound on prompt plus answer tokens.
   std::vector<PromptPart> prompt;
-  std::optional<KeyDigest> key;  ///< That the caller shows; empty for none, or for several.
+  std::optional<KeyDigest> key;  ///< Digest of the API key; empty for none or several.
 };
 
-/// @brief What an endpoint is told of the caller.
+/// @brief Caller identity that is passed to an endpoint.
 /// @ingroup forwarding
-struct CallerTerms {
-  bool checked = false;  ///< The node knows customers: what the caller says of itself is left out.
-  std::string customer;  ///< Empty: the endpoint is told none.
+struct CallerMetadata {
+  bool checked = false;  ///< Customers are authenticated; the caller's claims are dropped.
+  std::string customer;  ///< Empty when no customer is passed on.
 };
 
-/// @brief What this node adds to a request that it sends to an endpoint.
+/// @brief Metadata that this node adds to a request for an endpoint.
 /// @ingroup forwarding
 struct SendTerms {
-  std::string endpoint;  ///< Name that it answers to; every other one refuses the request.
+  std::string endpoint;  ///< Name of the intended endpoint; any other endpoint refuses the request.
   Duration time_left{0};
   std::optional<std::uint32_t> urgency;        ///< 0 is the most urgent.
-  std::optional<std::string> after_event;      ///< Goes on after this event of a stream.
-  std::optional<std::string> weights_version;  ///< Endpoints with other weights refuse.
-  CallerTerms caller;
+  std::optional<std::string> after_event;      ///< Resumes the stream after this event.
+  std::optional<std::string> weights_version;  ///< Other versions refuse the request.
+  CallerMetadata caller;
 };
 
-/// @brief What an endpoint's answer says.
+/// @brief Metadata of an endpoint's answer.
 /// @ingroup forwarding
 struct AnswerTerms {
-  std::string request_id;       ///< Empty when it names none.
-  bool is_signed = false;       ///< Carries the endpoint's signature.
-  bool not_run = false;         ///< The request has not run and never will.
-  bool wrong_instance = false;  ///< Another endpoint has the address.
-  bool not_resident = false;    ///< The endpoint holds no such model or adapter.
+  std::string request_id;  ///< Empty when the answer has none.
+  bool is_signed = false;  ///< The answer carries the endpoint's signature.
+  bool not_run = false;  ///< The endpoint guarantees that the request has not run and will not run.
+  bool wrong_instance = false;  ///< Another endpoint now listens at the address.
+  bool not_resident = false;    ///< The endpoint does not hold the model or adapter.
   std::string weights_version;
-  LimitAnnouncement limit;  ///< Of the endpoint, on requests from all nodes together.
+  LimitAnnouncement limit;  ///< The endpoint's rate limit on requests from all nodes together.
 };
 
-/// @brief Header of an answer without its body.
+/// @brief Status line and header fields of an answer.
 /// @ingroup forwarding
 using AnswerHead = http::response_header<http::fields>;
 
-/// @brief Reads and writes the headers of one wire format; decides nothing.
+/// @brief Translates between HTTP headers of one wire format and the types above. Makes no
+/// decisions.
 /// @ingroup forwarding
 class Dialect {
  public:
@@ -82,9 +84,9 @@
   virtual AnswerTerms ReadAnswer(const AnswerHead& head, const std::string& endpoint) const = 0;
   virtual void Write(const SendTerms& terms, HttpRequest& request) const = 0;
 
-  /// @brief Headers of a refusal: when to come back, and whose request it was.
+  /// @brief Returns the headers of a refusal: the request id and when to retry.
   virtual HeaderList RefusalHeaders(const std::string& request_id,
-                                    std::optional<Duration> come_back) const = 0;
+                                    std::optional<Duration> retry_delay) const = 0;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/forwarding/endpoint_connection.hpp
+++ b/include/rudderloom/forwarding/endpoint_connection.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// One connection to an endpoint, which carries one request at a time.
+/// HTTP connection to an endpoint that carries one request at a time, and a pool of idle
+/// connections.
 #ifndef RUDDERLOOM_FORWARDING_ENDPOINT_CONNECTION_HPP
 #define RUDDERLOOM_FORWARDING_ENDPOINT_CONNECTION_HPP
 
@@ -17,18 +18,18 @@
 
 namespace rudderloom {
 
-/// @brief Why a connection gave no (whole) answer.
+/// @brief Why a connection delivered no complete answer.
 /// @ingroup forwarding
 struct ConnectionFailure {
-  bool sent = false;  ///< A byte of the request may have left this process.
+  bool sent = false;  ///< Part of the request may have been sent.
   std::string message;
-  bool refused = false;  ///< The connect was answered: no process listens at the address.
+  bool refused = false;  ///< Connection refused: no process listens at the address.
 };
 
-/// @brief A connection and the answer that is being read from it. One thread only.
+/// @brief A connection and the answer being read from it. Not thread-safe.
 ///
-/// A connection is used again only when nothing about it is in doubt: the request was written
-/// whole, the answer ended by its own length, and no byte too many came.
+/// A connection is reused only if its state is certain: the request was written completely, the
+/// answer's end was framed by its length, and no surplus bytes followed.
 /// @ingroup forwarding
 class EndpointConnection {
  public:
@@ -36,37 +37,38 @@
 
   explicit EndpointConnection(asio::io_context& context);
 
-  /// @brief Connects; Close() from elsewhere ends the wait.
+  /// @brief Connects to the address; Close() interrupts it.
   Awaitable<std::optional<ConnectionFailure>> Connect(std::string address);
 
-  /// @brief Begins to write a request while the answer may already be read.
+  /// @brief Starts writing a request. The answer may be read at the same time.
   void StartRequest(const HttpRequest& request);
 
-  /// @brief Reads the next head; `answers_head` tells a HEAD request, whose answer has no body.
-  Awaitable<std::variant<End, ConnectionFailure>> ReadHead(bool answers_head);
+  /// @brief Reads the next answer header. `is_head_request` marks the answer to a HEAD request,
+  /// which has no body.
+  Awaitable<std::variant<End, ConnectionFailure>> ReadHead(bool is_head_request);
 
-  /// @brief The head that was read.
+  /// @brief The answer header that was read last.
   const AnswerHead& Head() const;
 
-  /// @brief The next piece of the body, its proper end, or a failure.
+  /// @brief Reads the next chunk of the body; `End` at its regular end.
   Awaitable<std::variant<std::string, End, ConnectionFailure>> ReadSome();
 
-  /// @brief Reads the rest of the body and drops it, so that the next head can be read.
+  /// @brief Reads and discards the rest of the body, so that the next header can be read.
   Awaitable<std::optional<ConnectionFailure>> SkipBody();
 
-  /// @brief The next answer may have been meant for somebody else: never use it again.
-  void Distrust() { trusted_ = false; }
+  /// @brief Forbids reuse, as the next answer may belong to another request.
+  void ForbidReuse() { may_reuse_ = false; }
 
-  /// @brief True when the connection may carry another request.
+  /// @brief True if the connection may carry another request.
   bool Reusable() const;
 
-  /// @brief True while nothing came and the other side did not close.
-  bool StillQuiet();
+  /// @brief True if no data is pending and the peer has not closed the connection.
+  bool IsIdle();
 
-  /// @brief How long the endpoint keeps it while idle, as its last answer said.
-  Duration KeptFor() const;
+  /// @brief How long the endpoint keeps the connection open while idle, from its last answer.
+  Duration KeepAliveTime() const;
 
-  /// @brief Ends whatever is under way; safe at any time.
+  /// @brief Closes the connection and interrupts pending operations; safe at any time.
   void Close();
 
  private:
@@ -83,33 +85,35 @@
   beast::flat_buffer buffer_;
   std::unique_ptr<Parser> parser_;
   std::shared_ptr<Write> write_;
-  bool trusted_ = true;
+  bool may_reuse_ = true;
 };
 
-/// @brief Idle connections by endpoint instance. One thread only.
+/// @brief Pool of idle connections by endpoint instance. Not thread-safe.
 /// @ingroup forwarding
 class ConnectionPool {
  public:
-  /// @brief The connection used last that is still good; empty when there is none.
+  /// @brief Takes the most recently used connection that is still usable; null if there is none.
   std::unique_ptr<EndpointConnection> Take(const std::string& instance, TimePoint now);
 
-  /// @brief Keeps a reusable connection; others are closed.
+  /// @brief Returns a connection to the pool; closes it if it is not reusable.
   void Put(const std::string& instance,
            std::unique_ptr<EndpointConnection> connection,
            TimePoint now);
 
-  /// @brief Drops an endpoint's connections on which nothing has come since `moment`: connections
-  /// may go silent together, without a reset, and each would cost a request its time.
-  void DropSince(const std::string& instance, TimePoint moment);
+  /// @brief Drops an endpoint's connections that have been idle since `since` or longer.
+  /// Connections can become unresponsive together without a reset, and each would cost a request
+  /// its timeout.
+  void DropIdleSince(const std::string& instance, TimePoint since);
 
-  /// @brief Drops the connections of endpoints that are not in `instances`, and those that rest.
+  /// @brief Drops connections of endpoints that are not in `instances`, and those that have
+  /// expired.
   void Trim(const std::vector<std::string>& instances, TimePoint now);
 
  private:
   struct Idle {
     std::unique_ptr<EndpointConnection> connection;
-    TimePoint used_at;
-    TimePoint good_until;
+    TimePoint idle_since;
+    TimePoint reusable_until;
   };
 
   std::map<std::string, std::deque<Idle>> idle_;
--- a/include/rudderloom/forwarding/event_framer.hpp
+++ b/include/rudderloom/forwarding/event_framer.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Cuts a stream of server-sent events into whole events with their numbers.
+/// Splits a stream of server-sent events into complete events and tracks their ids.
 #ifndef RUDDERLOOM_FORWARDING_EVENT_FRAMER_HPP
 #define RUDDERLOOM_FORWARDING_EVENT_FRAMER_HPP
 
@@ -10,50 +10,51 @@
 
 namespace rudderloom {
 
-/// @brief One whole event, with the blank line that ends it.
+/// @brief One complete event, including the blank line that ends it.
 /// @ingroup forwarding
 struct StreamEvent {
   std::string text;
   std::optional<std::uint64_t> id;
 };
 
-/// @brief Collects pieces of a body until whole events stand in them.
+/// @brief Buffers body chunks and extracts complete events.
 /// @ingroup forwarding
 class EventFramer {
  public:
-  void Feed(std::string_view piece) { pending_ += piece; }
+  void Feed(std::string_view chunk) { pending_ += chunk; }
 
-  /// @brief The next whole event; empty until more has come.
+  /// @brief Returns the next complete event; empty until more data has arrived.
   std::optional<StreamEvent> Next();
 
-  /// @brief True while a part of an event is left over.
+  /// @brief True while an incomplete event is buffered.
   bool HasPartial() const { return !pending_.empty(); }
 
  private:
   std::string pending_;
 };
 
-/// @brief Which events of one answer go to the client, over one or more attempts.
+/// @brief Decides which events of an answer are forwarded to the client, across one or more
+/// attempts.
 /// @ingroup forwarding
 class EventSequence {
  public:
   enum class Verdict {
     kPass,
-    kRepeated,  ///< Was passed on before: to be dropped.
-    kGap,       ///< Something between is missing: the attempt is broken.
+    kDuplicate,  ///< Already forwarded; must be dropped.
+    kGap,        ///< An event is missing in between; the attempt has failed.
   };
 
   Verdict Take(const StreamEvent& event);
 
-  /// @brief Number of the last event passed on; empty before the first.
+  /// @brief Id of the last forwarded event; empty before the first.
   const std::optional<std::uint64_t>& Last() const { return last_; }
 
-  /// @brief True while every event had a number, so that another attempt can go on.
+  /// @brief True while every event had an id, so that another attempt can resume the stream.
   bool Numbered() const { return numbered_; }
 
  private:
   std::optional<std::uint64_t> last_;
-  std::optional<std::uint64_t> step_;  ///< Between numbers, once two events were seen.
+  std::optional<std::uint64_t> step_;  ///< Difference between ids, known after two events.
   bool numbered_ = true;
 };
 
--- a/include/rudderloom/forwarding/forwarder.hpp
+++ b/include/rudderloom/forwarding/forwarder.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Sends clients' requests to endpoints and passes their answers on.
+/// Forwards client requests to endpoints and returns their answers.
 #ifndef RUDDERLOOM_FORWARDING_FORWARDER_HPP
 #define RUDDERLOOM_FORWARDING_FORWARDER_HPP
 
@@ -26,26 +26,26 @@
 
 namespace rudderloom {
 
-/// @brief Requests of this node by model and adapter.
+/// @brief This node's request counts by model and adapter.
 /// @ingroup forwarding
 using UnitCounts = std::map<UnitName, UnitCount>;
 
-/// @brief Asks the node at an address, which holds the lease, whether a request may run. The
-/// callback may be called on any thread, with nothing when no answer came.
+/// @brief Asks the lease holder at the given address whether a request is within its customer's
+/// quota. The callback may run on any thread; it receives an empty value if no answer came.
 /// @ingroup forwarding
 using AskHolder = std::function<void(const std::string& holder,
                                      const SpendAsk& ask,
                                      std::function<void(std::optional<SpendAnswer>)> done)>;
 
-/// @brief Asks the node at an address, the holder of the lease or its deputy, whether a request may
-/// be sent to an endpoint. The callback may be called on any thread, with nothing when no answer
+/// @brief Asks the lease holder or its deputy at the given address for a permit to send a request
+/// to an endpoint. The callback may run on any thread; it receives an empty value if no answer
 /// came.
 /// @ingroup forwarding
 using AskForPermit = std::function<void(const std::string& granter,
                                         const PermitAsk& ask,
                                         std::function<void(std::optional<PermitAnswer>)> done)>;
 
-/// @brief What every request of this node shares. Owned by the traffic thread.
+/// @brief State shared by all requests of this node. Owned by the traffic thread.
 /// @ingroup forwarding
 struct ForwardingState {
   asio::io_context& context;
@@ -62,20 +62,20 @@
   MissingUnits missing;
   LogQuota log_quota;
   std::mt19937_64 random;
-  bool stopping = false;  ///< Requests that wait for an endpoint are refused.
-  /// @brief Until then a first configuration is likely to come, and requests wait for it.
+  bool stopping = false;  ///< Planned stop: requests waiting for an endpoint are refused.
+  /// @brief Until this time, requests wait for the first configuration.
   TimePoint configured_by;
-  /// @brief Called when the control state should soon hear what this node has met: a request that
-  /// finds no endpoint which holds what it asks for, or an endpoint that has ended.
+  /// @brief Requests an early sample for the control state: after a request for a model or adapter
+  /// that no endpoint holds, or when an endpoint has ended.
   std::function<void()> sample_soon;
   AskHolder ask_holder;
   AskForPermit ask_for_permit;
   /// @brief Upper bound on the deadline of requests that arrive during a planned stop.
   TimePoint stop_deadline = TimePoint::max();
-  CallGuards guards = {};  ///< Of requests in flight.
+  CallGuards guards = {};  ///< Guards of the requests in flight.
 };
 
-/// @brief Answers one request. The exchange always has its answer, or is aborted, afterwards.
+/// @brief Handles one request. On return, the exchange has been answered or aborted.
 /// @ingroup forwarding
 Awaitable<void> Forward(ForwardingState& state, HttpExchange& exchange);
 
--- a/include/rudderloom/forwarding/front.hpp
+++ b/include/rudderloom/forwarding/front.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The traffic thread's listeners: clients' requests, the readiness question and metrics.
+/// HTTP listeners of the traffic thread: client requests, readiness and metrics.
 #ifndef RUDDERLOOM_FORWARDING_FRONT_HPP
 #define RUDDERLOOM_FORWARDING_FRONT_HPP
 
@@ -10,7 +10,7 @@
 
 namespace rudderloom {
 
-/// @brief Serves clients from the newest view. All methods run on the traffic thread.
+/// @brief Serves clients from the latest view. All methods run on the traffic thread.
 /// @ingroup forwarding
 class FleetFront {
  public:
@@ -22,24 +22,25 @@
              AskHolder ask_holder,
              AskForPermit ask_for_permit);
 
-  /// @brief Begins to listen; gives the addresses taken. Nothing is ready before a configuration
-  /// and the endpoints are known.
+  /// @brief Starts listening and returns the bound addresses. Reports not ready until a
+  /// configuration and the endpoints are known.
   FleetListeners Start();
 
-  /// @brief Takes a new view.
+  /// @brief Installs a new view.
   void Use(FleetViewPtr view);
 
-  /// @brief Says "not ready", and asks clients to reconnect elsewhere after their answers.
+  /// @brief Reports not ready and asks clients to reconnect elsewhere after their current answer.
   /// @param stop_deadline Upper bound on the deadline of requests that arrive from now on.
   void BeginStop(TimePoint stop_deadline);
 
-  /// @brief Accepts no more connections; idle ones are closed.
+  /// @brief Stops accepting connections and closes idle ones.
   void StopAccepting();
 
-  /// @brief Interrupts all requests in flight; those without a started answer get an error answer.
+  /// @brief Interrupts all requests in flight; those whose answer has not started get an error
+  /// answer.
   void InterruptRequests();
 
-  /// @brief Requests being answered now.
+  /// @brief Number of requests in progress.
   std::uint64_t Active() const { return server_->Active(); }
 
  private:
@@ -60,7 +61,7 @@
   std::shared_ptr<HttpServer> metrics_server_;
   std::function<void(NodeCounts)> on_sample_;
   Timer sample_timer_;
-  bool sample_soon_ = false;  // traffic has met what the control state should know
+  bool sample_requested_ = false;  // the next sample is due at once
   bool stopping_ = false;
 };
 
--- a/include/rudderloom/forwarding/missing_units.hpp
+++ b/include/rudderloom/forwarding/missing_units.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Models and adapters that requests asked for while no endpoint held them.
+/// Tracks models and adapters that were requested while no endpoint held them.
 #ifndef RUDDERLOOM_FORWARDING_MISSING_UNITS_HPP
 #define RUDDERLOOM_FORWARDING_MISSING_UNITS_HPP
 
@@ -13,25 +13,25 @@
 
 namespace rudderloom {
 
-/// @brief The model that a request asks for and, where it names one, the adapter, which can't be
-/// there without its model.
+/// @brief Returns the model that a request needs and, if named, its adapter. An adapter is only
+/// resident together with its model.
 /// @ingroup forwarding
 std::vector<UnitName> RequestedUnits(const std::string& service, const RequestTerms& terms);
 
-/// @brief Tells when a missing model or adapter is likely to be there, so that a request waits only
-/// where waiting helps. Pure; time is passed in.
+/// @brief Estimates when a missing model or adapter becomes resident, so that requests wait only if
+/// that helps. The time is passed in.
 /// @ingroup forwarding
 class MissingUnits {
  public:
-  /// @brief A request asked for it and no endpoint holds it.
-  /// @param service Null when nothing is known of it.
-  /// @return When it is likely to be there.
+  /// @brief Records a request for a unit that no endpoint holds.
+  /// @param service Null if the service is unknown.
+  /// @return When the unit is expected to be resident.
   TimePoint Missed(const UnitName& unit, const ServiceSpec* service, TimePoint now);
 
-  /// @brief An endpoint holds it.
-  void Found(const UnitName& unit) { since_.erase(unit); }
+  /// @brief Records that an endpoint holds the unit.
+  void MarkResident(const UnitName& unit) { missing_.erase(unit); }
 
-  /// @brief Forgets what nobody has asked for lately.
+  /// @brief Drops units that have not been requested lately.
   void Trim(TimePoint now);
 
  private:
@@ -40,7 +40,7 @@
     TimePoint last_asked;
   };
 
-  std::map<UnitName, Missing> since_;
+  std::map<UnitName, Missing> missing_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/forwarding/retry_allowance.hpp
+++ b/include/rudderloom/forwarding/retry_allowance.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How often requests may go to a second endpoint: a share that all nodes together can't exceed.
+/// Retry budget: bounds the share of retries over all nodes together.
 #ifndef RUDDERLOOM_FORWARDING_RETRY_ALLOWANCE_HPP
 #define RUDDERLOOM_FORWARDING_RETRY_ALLOWANCE_HPP
 
@@ -12,40 +12,41 @@
 
 namespace rudderloom {
 
-/// @brief Bounds on repeated arrivals at one service, over all entry nodes.
+/// @brief Limits on retries for one service, over all entry nodes.
 /// @ingroup forwarding
 struct RetryBounds {
-  double ratio = 0.2;       ///< Of the requests for the service within the window.
-  double extra = 0.0;       ///< Beyond, over all nodes together.
-  Duration window{10'000};  ///< Sliding.
+  double ratio = 0.2;       ///< Retries per request for the service within the window.
+  double extra = 0.0;       ///< Additional retries, over all nodes together.
+  Duration window{10'000};  ///< Length of the sliding window.
 };
 
-/// @brief This node's part of the bounds. Pure; time is passed in.
+/// @brief This node's share of the retry limits. The time is passed in.
 ///
-/// The ratio of a node's own requests adds up over nodes by itself; the extra is divided among
-/// them, with room for nodes that this one has not heard of yet.
+/// The ratio applies to each node's own requests, so it holds over all nodes without coordination.
+/// The additional retries are divided among the nodes, with a margin for nodes that this one does
+/// not know yet.
 /// @ingroup forwarding
 class RetryAllowance {
  public:
   explicit RetryAllowance(RetryBounds bounds) : bounds_(bounds) {}
 
-  /// @brief Counts a request of a client for the service.
-  void Requested(const std::string& service, TimePoint now);
+  /// @brief Counts a client request for the service.
+  void CountRequest(const std::string& service, TimePoint now);
 
-  /// @brief Pays for a repeat; false when there is nothing left to pay with.
-  /// @param nodes Entry nodes that share the extra, with this one.
+  /// @brief Takes one retry from the budget; false if it is exhausted.
+  /// @param nodes Number of entry nodes that share `extra`, including this one.
   bool Spend(const std::string& service, std::uint32_t nodes, TimePoint now);
 
  private:
-  struct Account {
+  struct ServiceHistory {
     std::deque<TimePoint> requests;
-    std::deque<TimePoint> repeats;
+    std::deque<TimePoint> retries;
   };
 
-  void Forget(Account& account, TimePoint now) const;
+  void DropExpired(ServiceHistory& history, TimePoint now) const;
 
   RetryBounds bounds_;
-  std::map<std::string, Account> accounts_;
+  std::map<std::string, ServiceHistory> histories_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/forwarding/service_times.hpp
+++ b/include/rudderloom/forwarding/service_times.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// How long requests take at an endpoint, learned from the answers that pass this node.
+/// Estimates service times at endpoints from the answers forwarded by this node.
 #ifndef RUDDERLOOM_FORWARDING_SERVICE_TIMES_HPP
 #define RUDDERLOOM_FORWARDING_SERVICE_TIMES_HPP
 
@@ -12,50 +12,50 @@
 
 namespace rudderloom {
 
-/// @brief Learns, for each model of each service, how long an answer holds a place at an endpoint
-/// and how long a prompt takes to read. Of a model not seen yet it assumes what holds for its
-/// service; of a service not seen yet, that everything takes no time, so that nothing is refused on
-/// a guess. Pure.
+/// @brief Estimates, for each model of each service, how long an answer occupies a slot and how
+/// long its prompt takes to process. A model without samples uses the estimate of its service. A
+/// service without samples gets zero times, so that no request is refused on a guess.
 /// @ingroup forwarding
 class ServiceTimes {
  public:
-  /// @brief An answer came whole.
-  /// @param tokens_out As the client guessed or bounded them.
-  /// @param length From its first event to its end.
+  /// @brief Records a complete answer.
+  /// @param tokens_out Answer tokens as estimated or bounded by the client.
+  /// @param hold_time Time from the first event to the end of the answer.
   void Served(const std::string& service,
               const std::string& model,
               std::uint64_t tokens_out,
-              Duration length);
-
-  /// @brief An answer began at an endpoint that had places free and no prompt to read before this.
-  /// @param unread_tokens Of its prompt.
-  /// @param first From sending the request to its first event.
-  void Began(const std::string& service,
-             const std::string& model,
-             std::uint64_t unread_tokens,
-             Duration first);
-
-  /// @brief How long a request holds its place, once its answer begins.
+              Duration hold_time);
+
+  /// @brief Records the first event from an endpoint that had free slots and no other prompt to
+  /// process.
+  /// @param unread_tokens Prompt tokens that the endpoint had to process.
+  /// @param first_event_time Time from sending the request to its first event.
+  void RecordFirstEvent(const std::string& service,
+                        const std::string& model,
+                        std::uint64_t unread_tokens,
+                        Duration first_event_time);
+
+  /// @brief Expected time from the first event of an answer to its end.
   Duration HoldTime(const std::string& service,
                     const std::string& model,
                     std::uint64_t tokens_out) const;
 
-  /// @brief The same for the model's usual request.
+  /// @brief Like HoldTime(), for a typical request for the model.
   Duration TypicalHoldTime(const std::string& service, const std::string& model) const;
 
-  /// @brief From a place until the first event, with so many prompt tokens to read.
+  /// @brief Expected time from getting a slot to the first event, with `unread_tokens` to process.
   Duration FirstEventTime(const std::string& service,
                           const std::string& model,
                           std::uint64_t unread_tokens) const;
 
-  /// @brief The same for the model's usual request.
+  /// @brief Like FirstEventTime(), for a typical request for the model.
   Duration TypicalFirstEventTime(const std::string& service, const std::string& model) const;
 
-  /// @brief Prompt tokens that are read in a millisecond.
+  /// @brief Prompt tokens processed per millisecond.
   double TokensPerMillisecond(const std::string& service, const std::string& model) const;
 
  private:
-  // Sums over samples that fade as new ones come.
+  // Exponentially decaying sums for a linear regression.
   struct Sums {
     double samples = 0.0;
     double x = 0.0;
@@ -63,24 +63,24 @@
     double xx = 0.0;
     double xy = 0.0;
 
-    void Add(double at_x, double at_y);
+    void Add(double new_x, double new_y);
   };
-  struct Line {
-    double at_zero = 0.0;  // milliseconds
-    double slope = 0.0;    // milliseconds a token
+  struct LinearFit {
+    double intercept = 0.0;  // milliseconds
+    double slope = 0.0;      // milliseconds per token
   };
-  struct Learned {
-    Sums answers;  // tokens out, milliseconds to the end
-    Sums prompts;  // tokens read, milliseconds to the first event
+  struct ModelSamples {
+    Sums answers;  // answer tokens, milliseconds from first event to end
+    Sums prompts;  // processed prompt tokens, milliseconds to the first event
   };
-  using Key = std::pair<std::string, std::string>;  // service, model; "" for the whole service
+  using Key = std::pair<std::string, std::string>;  // service, model; "" for all models
 
-  const Sums* Find(Sums Learned::*which,
+  const Sums* Find(Sums ModelSamples::*series,
                    const std::string& service,
                    const std::string& model) const;
-  static Line Fit(const Sums& sums);
+  static LinearFit Fit(const Sums& sums);
 
-  std::map<Key, Learned> learned_;
+  std::map<Key, ModelSamples> samples_by_model_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/forwarding/view_source.hpp
+++ b/include/rudderloom/forwarding/view_source.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The newest view of the fleet, and a way to wait for the next one.
+/// Holds the latest fleet view and lets requests wait for the next one.
 #ifndef RUDDERLOOM_FORWARDING_VIEW_SOURCE_HPP
 #define RUDDERLOOM_FORWARDING_VIEW_SOURCE_HPP
 
@@ -10,26 +10,26 @@
 
 namespace rudderloom {
 
-/// @brief Hands views to traffic. One thread only.
+/// @brief Provides fleet views to the traffic thread. Not thread-safe.
 /// @ingroup forwarding
 class ViewSource {
  public:
   const FleetViewPtr& Current() const { return current_; }
 
-  /// @brief Replaces the view and wakes whoever waits.
+  /// @brief Replaces the view and wakes all waiters.
   void Use(FleetViewPtr view) {
     current_ = std::move(view);
     WakeAll();
   }
 
-  /// @brief Ends all waits, as a new view does.
+  /// @brief Wakes all waiters without a new view.
   void WakeAll() {
     for (Timer* timer : waiting_) {
       timer->cancel();
     }
   }
 
-  /// @brief Waits for the next view, until `until`, or until somebody cancels the timer.
+  /// @brief Waits for the next view, until `until` or until the timer is cancelled.
   Awaitable<void> WaitForNext(Timer& timer, TimePoint until) {
     timer.expires_at(until);
     waiting_.insert(&timer);
@@ -37,7 +37,7 @@
     waiting_.erase(&timer);
   }
 
-  /// @brief Requests that wait for a view now.
+  /// @brief Number of requests waiting for a view.
   std::size_t Waiting() const { return waiting_.size(); }
 
  private:
--- a/src/rudderloom/forwarding/admission.cpp
+++ b/src/rudderloom/forwarding/admission.cpp
@@ -6,40 +6,42 @@
 
 namespace {
 
-// Urgencies of two neighbouring priorities leave room for requests that can wait a while.
-constexpr std::uint32_t kPerPriority = 2;
-constexpr std::uint32_t kLastInTurn = 6;
+// Each priority spans two urgency levels: the second one is for requests that can wait for another
+// slot hold.
+constexpr std::uint32_t kUrgenciesPerPriority = 2;
+constexpr std::uint32_t kMaxAdmittedUrgency = 6;
 constexpr std::uint32_t kDeferredUrgency = 8;
 
 }  // namespace
 
-Duration WaitForPlace(std::uint32_t ahead, std::uint32_t slots, Duration hold) {
+Duration EstimateSlotWait(std::uint32_t ahead, std::uint32_t slots, Duration hold_time) {
   const std::uint32_t places = std::max(1U, slots);
   if (ahead < places) {
     return Duration(0);
   }
-  return hold * (ahead - places + 1) / places;
+  return hold_time * (ahead - places + 1) / places;
 }
 
-Admission Admit(const StartForecast& forecast, const Route& route, Duration spent) {
-  if (spent + forecast.in_turn <= route.goal) {
-    return Admission::kInTurn;
+Admission DecideAdmission(const StartForecast& forecast, const Route& route, Duration spent) {
+  if (spent + forecast.if_admitted <= route.goal) {
+    return Admission::kAdmitted;
   }
-  return spent + forecast.behind_all <= route.patience ? Admission::kDeferred : Admission::kRefused;
+  return spent + forecast.if_deferred <= route.patience ? Admission::kDeferred
+                                                        : Admission::kRefused;
 }
 
 std::uint32_t UrgencyOf(Admission admission,
                         const Route& route,
                         std::uint32_t priority,
                         const StartForecast& forecast,
-                        Duration hold,
+                        Duration hold_time,
                         Duration spent) {
-  if (admission != Admission::kInTurn) {
+  if (admission != Admission::kAdmitted) {
     return kDeferredUrgency;
   }
-  // It would still be in time after one more request has held the place.
-  const bool can_wait = spent + forecast.in_turn + hold <= route.goal;
-  return std::min(kLastInTurn, kPerPriority * priority + (can_wait ? 1 : 0));
+  // The goal is still met after one more request has held the slot.
+  const bool can_wait = spent + forecast.if_admitted + hold_time <= route.goal;
+  return std::min(kMaxAdmittedUrgency, kUrgenciesPerPriority * priority + (can_wait ? 1 : 0));
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/attempt.hpp
+++ b/src/rudderloom/forwarding/attempt.hpp
@@ -1,4 +1,4 @@
-// One request sent to one endpoint once, and its answer.
+// A single attempt: sends a request to one endpoint and forwards its answer.
 #ifndef RUDDERLOOM_FORWARDING_ATTEMPT_HPP
 #define RUDDERLOOM_FORWARDING_ATTEMPT_HPP
 
@@ -13,13 +13,13 @@
 
 namespace rudderloom {
 
-// When the events of an answer reached the client.
+// Times at which events of an answer were sent to the client.
 struct StreamPace {
   std::optional<TimePoint> first_at;
   TimePoint last_at;
   Duration longest_pause{0};
 
-  void Passed(TimePoint now) {
+  void RecordEvents(TimePoint now) {
     if (first_at) {
       longest_pause = std::max(longest_pause, Between(last_at, now));
     } else {
@@ -29,54 +29,55 @@
   }
 };
 
-// What a streamed answer has passed on, over all attempts at it.
+// Progress of a streamed answer, across all attempts.
 struct StreamState {
-  bool started = false;  // the client has the head
+  bool started = false;  // the answer header was sent to the client
   EventSequence sequence;
   StreamPace pace;
   std::string weights_version;  // of the first attempt
 };
 
-struct AttemptAsk {
+struct AttemptParams {
   EndpointRecord endpoint;
   const RequestTerms* terms = nullptr;
   const Route* route = nullptr;
-  TimePoint time_up;
-  CallerTerms caller;
-  std::uint32_t urgency = 0;              // of a request for a model, as the endpoint sees it
-  std::optional<Duration> first_silence;  // before the answer begins; empty: no limit
-  Duration later_silence{0};              // between two pieces of a stream that may be resumed
+  TimePoint deadline_at;
+  CallerMetadata caller;
+  std::uint32_t urgency = 0;               // only sent for model requests
+  std::optional<Duration> answer_timeout;  // until the answer starts; empty: no limit
+  Duration event_timeout{0};               // between chunks of a stream that can be resumed
   StreamState* stream = nullptr;
-  std::function<void()> on_sent;   // the request is being written
-  std::function<void()> on_begun;  // the answer began
+  std::function<void()> on_sent;            // called when the request is about to be written
+  std::function<void()> on_answer_started;  // called when the answer starts
 };
 
 enum class AttemptOutcome {
-  kAnswered,      // the client has the whole answer, or its connection is gone
+  kAnswered,      // the client got the whole answer or disconnected
   kNotConnected,  // nothing was sent
-  kNotRun,        // the endpoint promised that it did not run the request
+  kNotRun,        // the endpoint guaranteed that the request did not run
   kFailed,        // the endpoint may have run it
 };
 
 struct AttemptResult {
   AttemptOutcome outcome = AttemptOutcome::kFailed;
   std::string_view reason;    // for counters and logs
-  unsigned status = 0;        // of the endpoint's answer, where there is one
-  bool not_resident = false;  // the endpoint said that it does not hold the model or adapter
-  bool silent = false;        // the endpoint was given up because nothing came from it
+  unsigned status = 0;        // of the endpoint's answer; 0 if there was none
+  bool not_resident = false;  // the endpoint does not hold the model or adapter
+  bool silent = false;        // abandoned because the endpoint sent nothing
   bool refused = false;       // no process listens at the endpoint's address
-  bool broken = false;        // its connection ended before the whole answer had come
-  std::string error;          // the network's word for it; empty for none
-  TimePoint sent_at;          // when the request began to be written
-  AttemptMark mark = AttemptMark::kFailed;
-  std::optional<Reply> reply;  // a failure that the client may be given as it is
+  bool broken = false;        // the connection ended before the answer was complete
+  std::string error;          // network error message; empty for none
+  TimePoint sent_at;          // when writing the request started
+  EndpointFeedback feedback = EndpointFeedback::kFailed;
+  std::optional<Reply> reply;  // an error answer that may be forwarded to the client
 };
 
-// Sends the request and passes a success on; failures are left to the caller to decide about.
+// Sends the request and forwards a successful answer. Failures are returned for the caller to
+// handle.
 Awaitable<AttemptResult> RunAttempt(ForwardingState& state,
                                     HttpExchange& exchange,
                                     CallGuard& guard,
-                                    AttemptAsk ask);
+                                    AttemptParams params);
 
 }  // namespace rudderloom
 
--- a/src/rudderloom/forwarding/await_answer.hpp
+++ b/src/rudderloom/forwarding/await_answer.hpp
@@ -1,4 +1,4 @@
-// Waits on the traffic thread for an answer that comes on any thread.
+// Awaits an answer on the traffic thread that may arrive on any thread.
 #ifndef RUDDERLOOM_FORWARDING_AWAIT_ANSWER_HPP
 #define RUDDERLOOM_FORWARDING_AWAIT_ANSWER_HPP
 
@@ -10,20 +10,20 @@
 
 namespace rudderloom {
 
-// Longer than the link between nodes waits for the answer of a node that is there.
-constexpr Duration kNodeAnswerLimit{250};
+// Longer than the node link's own timeout for a live node.
+constexpr Duration kNodeAnswerTimeout{250};
 
-// `ask` is called once with a callback that takes the answer, or nothing when none came. Gives
-// nothing after `kNodeAnswerLimit`.
-template <class Answer, class Ask>
-Awaitable<std::optional<Answer>> AwaitAnswer(asio::io_context& context, Ask ask) {
+// Calls `send_request` once with a callback that takes the answer, or an empty value if there is
+// none. Returns empty after `kNodeAnswerTimeout`.
+template <class Answer, class SendRequest>
+Awaitable<std::optional<Answer>> AwaitAnswer(asio::io_context& context, SendRequest send_request) {
   struct Waiting {
     Timer timer;
     std::optional<Answer> answer;
   };
   auto waiting = std::make_shared<Waiting>(Waiting{Timer(context), {}});
-  waiting->timer.expires_after(kNodeAnswerLimit);
-  ask([&context, waiting](std::optional<Answer> answer) {
+  waiting->timer.expires_after(kNodeAnswerTimeout);
+  send_request([&context, waiting](std::optional<Answer> answer) {
     asio::post(context, [waiting, answer] {
       waiting->answer = answer;
       waiting->timer.cancel();
--- a/src/rudderloom/forwarding/balancer.cpp
+++ b/src/rudderloom/forwarding/balancer.cpp
@@ -8,31 +8,33 @@
 
 namespace {
 
-// Costs are counted in prompt tokens that an endpoint would have to read before this request.
-constexpr double kRunningCost = 60.0;       // a running request slows the others a little
-constexpr double kFullCost = 200'000.0;     // no place is left, and nothing is known of the wait
-constexpr double kAvoidCost = 1'000'000.0;  // it failed lately
+// Costs are in prompt tokens that an endpoint has to process before this request.
+constexpr double kRunningCost = 60.0;       // each running request slows the others slightly
+constexpr double kFullCost = 200'000.0;     // no free slot and no estimate of the wait
+constexpr double kAvoidCost = 1'000'000.0;  // failed recently
 constexpr double kLastResortCost = 10'000'000.0;
 constexpr double kOtherZoneCost = 60.0;
 constexpr double kPlainRequestCost = 1'000.0;
-// About half a second of reading: an endpoint in need comes after others that have room.
+// About half a second of prompt processing: rate-limited endpoints are chosen after others with
+// free capacity.
 constexpr double kLimitedCost = 20'000.0;
-constexpr double kHomeDiscount = 0.5;  // share of the common prompt that its home is likely to keep
-// A node hears of the others' loads each 250 ms, and these were counted some 100 ms before that.
+constexpr double kHomeAffinityShare =
+    0.5;  // share of the common prefix that its home endpoint likely has cached
+// Loads of other nodes arrive every 250 ms and were counted about 100 ms earlier.
 constexpr double kLoadsAgeMilliseconds = 300.0;
-constexpr std::uint32_t kMostReckoned = 64;
-// Tokens that must be saved for a request to follow its prompt against the spread over endpoints:
-// about 25 ms of reading.
-constexpr double kWorthFollowing = 1'000.0;
-// An endpoint's entry is written each heartbeat, 1.2 s, and read a little later.
-constexpr Duration kAbsentFor{1'500};
-constexpr Duration kAvoidLeast{400};
-constexpr Duration kAvoidMost{5'000};
-constexpr std::uint32_t kMostDoublings = 4;
-constexpr std::size_t kPromptsKept = 4'000;
-constexpr Duration kPromptsKeptFor{60'000};
+constexpr std::uint32_t kMaxExpectedArrivals = 64;
+// Minimum saved tokens for prefix affinity to override the spread over endpoints: about 25 ms of
+// prompt processing.
+constexpr double kMinAffinityAdvantage = 1'000.0;
+// An endpoint's entry is written with each heartbeat, every 1.2 s, and read shortly afterwards.
+constexpr Duration kNotResidentTime{1'500};
+constexpr Duration kMinAvoidTime{400};
+constexpr Duration kMaxAvoidTime{5'000};
+constexpr std::uint32_t kMaxDoublings = 4;
+constexpr std::size_t kMaxCachedPrefixes = 4'000;
+constexpr Duration kCachedPrefixLifetime{60'000};
 
-std::uint64_t Mix(std::uint64_t value) {
+std::uint64_t MixBits(std::uint64_t value) {
   value ^= value >> 33U;
   value *= 0xff51afd7ed558ccdULL;
   value ^= value >> 33U;
@@ -41,21 +43,22 @@
   return value;
 }
 
-// The same in every entry node: where a prompt's beginning is at home without anybody agreeing.
+// Rendezvous rank of an endpoint for a prompt prefix. Equal on every entry node, so that all agree
+// on a prefix's home endpoint without coordination.
 std::uint64_t HomeRank(std::uint64_t prompt, const std::string& instance) {
-  return Mix(prompt ^ std::hash<std::string>{}(instance));
+  return MixBits(prompt ^ std::hash<std::string>{}(instance));
 }
 
 LimitStanding StandingOf(const FleetView& view,
-                         const BalancerAsk& ask,
+                         const BalancerQuery& query,
                          const std::string& instance,
                          TimePoint now) {
-  return ask.limits == nullptr ? LimitStanding::kUnlimited
-                               : ask.limits->StandingOf(KeyOf(instance), view.live_nodes, now);
+  return query.limits == nullptr ? LimitStanding::kUnlimited
+                                 : query.limits->StandingOf(KeyOf(instance), view.live_nodes, now);
 }
 
-// One that has not answered for a while comes first, as by its answers the end of its limit is
-// noticed.
+// An endpoint without recent answers is preferred, since only its answers show that its limit has
+// ended.
 double LimitCost(LimitStanding standing) {
   switch (standing) {
     case LimitStanding::kLimited:
@@ -83,10 +86,10 @@
 
 }  // namespace
 
-std::uint64_t PromptHash(const RequestTerms& terms, std::size_t count) {
+std::uint64_t PromptPrefixHash(const RequestTerms& terms, std::size_t count) {
   std::uint64_t hash = std::hash<std::string>{}(terms.model + "/" + terms.adapter);
   for (std::size_t i = 0; i < std::min(count, terms.prompt.size()); ++i) {
-    hash = Mix(hash * 31 + terms.prompt[i].id);
+    hash = MixBits(hash * 31 + terms.prompt[i].id);
   }
   return hash;
 }
@@ -94,7 +97,7 @@
 std::uint64_t Balancer::UnreadTokens(const Endpoint& endpoint, const RequestTerms& terms) const {
   std::uint64_t unread = terms.tokens_in;
   for (std::size_t i = 0; i < terms.prompt.size(); ++i) {
-    if (!endpoint.read_prompts.contains(PromptHash(terms, i + 1))) {
+    if (!endpoint.cached_prefixes.contains(PromptPrefixHash(terms, i + 1))) {
       break;
     }
     unread -= std::min(unread, terms.prompt[i].tokens);
@@ -103,15 +106,15 @@
 }
 
 Balancer::Candidates Balancer::FindCandidates(const FleetView& view,
-                                              const BalancerAsk& ask,
+                                              const BalancerQuery& query,
                                               const std::vector<std::uint32_t>& listed,
                                               TimePoint now) {
-  // The prompt's beginning without its last part, which is the request's own.
-  const std::size_t common = ask.terms.prompt.empty() ? 0 : ask.terms.prompt.size() - 1;
-  const std::uint64_t common_hash = PromptHash(ask.terms, common);
+  // The prompt without its last part, which is specific to the request.
+  const std::size_t common = query.terms.prompt.empty() ? 0 : query.terms.prompt.size() - 1;
+  const std::uint64_t common_hash = PromptPrefixHash(query.terms, common);
   std::uint64_t common_tokens = 0;
   for (std::size_t i = 0; i < common; ++i) {
-    common_tokens += ask.terms.prompt[i].tokens;
+    common_tokens += query.terms.prompt[i].tokens;
   }
   Candidates found;
   std::vector<Candidate>& candidates = found.usable;
@@ -120,35 +123,35 @@
   for (const std::uint32_t index : listed) {
     const FleetEndpoint& listed_endpoint = view.endpoints[index];
     const EndpointRecord& record = listed_endpoint.record;
-    if (ask.excluded.contains(record.instance) || !Holds(record, ask.terms)) {
+    if (query.excluded.contains(record.instance) || !Holds(record, query.terms)) {
       continue;
     }
     const Endpoint& own = endpoints_[record.instance];
-    const auto absent = own.absent_until.find(UnitOf(ask.terms));
-    if (absent != own.absent_until.end() && now < absent->second) {
+    const auto not_resident = own.not_resident_until.find(UnitOf(query.terms));
+    if (not_resident != own.not_resident_until.end() && now < not_resident->second) {
       continue;
     }
-    const LimitStanding standing = StandingOf(view, ask, record.instance, now);
-    const bool limited = standing != LimitStanding::kUnlimited;
-    if (standing == LimitStanding::kRefused || (limited && ask.skip_limited)) {
-      found.limit_reached = true;
+    const LimitStanding standing = StandingOf(view, query, record.instance, now);
+    const bool rate_limited = standing != LimitStanding::kUnlimited;
+    if (standing == LimitStanding::kRefused || (rate_limited && query.skip_limited)) {
+      found.any_rate_limited = true;
       continue;
     }
     Candidate candidate;
     candidate.index = index;
-    candidate.limited = limited;
-    candidate.fixed += LimitCost(standing);
+    candidate.rate_limited = rate_limited;
+    candidate.base_cost += LimitCost(standing);
     candidate.slots = record.slots;
     candidate.own = own.load;
     candidate.load = own.load;
     candidate.load += listed_endpoint.others;
-    candidate.fixed += record.availability_zone != zone_ ? kOtherZoneCost : 0.0;
-    candidate.fixed += now < own.avoid_until ? kAvoidCost : 0.0;
-    candidate.fixed += listed_endpoint.last_resort ? kLastResortCost : 0.0;
-    if (!ask.terms.model.empty()) {
-      candidate.unread_tokens = UnreadTokens(own, ask.terms);
-      candidate.affinity =
-          static_cast<double>(ask.terms.tokens_in) - static_cast<double>(candidate.unread_tokens);
+    candidate.base_cost += record.availability_zone != availability_zone_ ? kOtherZoneCost : 0.0;
+    candidate.base_cost += now < own.avoid_until ? kAvoidCost : 0.0;
+    candidate.base_cost += listed_endpoint.last_resort ? kLastResortCost : 0.0;
+    if (!query.terms.model.empty()) {
+      candidate.unread_tokens = UnreadTokens(own, query.terms);
+      candidate.affinity_tokens =
+          static_cast<double>(query.terms.tokens_in) - static_cast<double>(candidate.unread_tokens);
     }
     const std::uint64_t rank = HomeRank(common_hash, record.instance);
     if (!listed_endpoint.last_resort && (!home || rank > home_rank)) {
@@ -157,174 +160,179 @@
     }
     candidates.push_back(candidate);
   }
-  if (home && !ask.terms.model.empty()) {
-    candidates[*home].affinity += kHomeDiscount * static_cast<double>(common_tokens);
+  if (home && !query.terms.model.empty()) {
+    candidates[*home].affinity_tokens += kHomeAffinityShare * static_cast<double>(common_tokens);
   }
   return found;
 }
 
-// Without the request's own prompt, and without what is saved of it.
-double Balancer::Cost(const Candidate& candidate, const Weights& weights) const {
-  const std::uint32_t requests = candidate.load.requests + candidate.others_sent;
-  double cost = candidate.fixed + static_cast<double>(candidate.load.unread_tokens);
-  cost += requests * (weights.engine ? kRunningCost : kPlainRequestCost);
-  cost += candidate.others_sent * weights.prompt_tokens;
+// Excludes the request's own prompt and its cached share.
+double Balancer::Cost(const Candidate& candidate, const RequestCosts& costs) const {
+  const std::uint32_t requests = candidate.load.requests + candidate.expected_arrivals;
+  double cost = candidate.base_cost + static_cast<double>(candidate.load.unread_tokens);
+  cost += requests * (costs.is_model_request ? kRunningCost : kPlainRequestCost);
+  cost += candidate.expected_arrivals * costs.prompt_tokens;
   if (requests < candidate.slots) {
     return cost;
   }
-  if (!weights.engine || weights.hold == Duration(0)) {
+  if (!costs.is_model_request || costs.hold_time == Duration(0)) {
     return cost + kFullCost;
   }
-  const Duration wait = WaitForPlace(requests, candidate.slots, weights.hold);
-  return cost + static_cast<double>(wait.count()) * weights.tokens_per_millisecond;
+  const Duration wait = EstimateSlotWait(requests, candidate.slots, costs.hold_time);
+  return cost + static_cast<double>(wait.count()) * costs.tokens_per_millisecond;
 }
 
-// In the time that the loads are old, a part of what runs has ended, and as much has come: lets
-// that go where each request finds least to do.
-void Balancer::ReckonOthers(std::vector<Candidate>& candidates, const Weights& weights) const {
-  if (weights.hold == Duration(0)) {
+// Since the loads were reported, some running requests have ended and about as many have arrived.
+// Assigns each estimated arrival to the endpoint with the least cost.
+void Balancer::EstimateArrivals(std::vector<Candidate>& candidates,
+                                const RequestCosts& costs) const {
+  if (costs.hold_time == Duration(0)) {
     return;
   }
-  const double part = kLoadsAgeMilliseconds / static_cast<double>(weights.hold.count());
+  const double turnover = kLoadsAgeMilliseconds / static_cast<double>(costs.hold_time.count());
   double expected = 0.0;
   for (Candidate& candidate : candidates) {
     const std::uint32_t others = candidate.load.requests - candidate.own.requests;
-    const double ended = std::min(1.0, part) * std::min(others, candidate.slots);
+    const double ended = std::min(1.0, turnover) * std::min(others, candidate.slots);
     expected += ended;
     candidate.load.requests -= static_cast<std::uint32_t>(ended);
   }
-  const auto count = std::min(kMostReckoned, static_cast<std::uint32_t>(expected));
+  const auto count = std::min(kMaxExpectedArrivals, static_cast<std::uint32_t>(expected));
   for (std::uint32_t i = 0; i < count; ++i) {
     const auto least = std::min_element(candidates.begin(), candidates.end(),
                                         [&](const Candidate& left, const Candidate& right) {
-                                          return Cost(left, weights) < Cost(right, weights);
+                                          return Cost(left, costs) < Cost(right, costs);
                                         });
-    ++least->others_sent;
+    ++least->expected_arrivals;
   }
 }
 
 const Balancer::Candidate& Balancer::Pick(const std::vector<Candidate>& candidates,
-                                          const Weights& weights) {
+                                          const RequestCosts& costs) {
   const Candidate* best = nullptr;
   double best_cost = std::numeric_limits<double>::max();
-  std::uint64_t reckoned = 0;
+  std::uint64_t total_arrivals = 0;
   for (const Candidate& candidate : candidates) {
-    // Equal costs are common; a small draw keeps nodes from choosing the same one.
-    const double drawn =
-        Cost(candidate, weights) - candidate.affinity + static_cast<double>(random_() % 64);
-    if (drawn < best_cost) {
-      best_cost = drawn;
+    // Equal costs are common; the random term keeps nodes from choosing the same endpoint.
+    const double jittered_cost =
+        Cost(candidate, costs) - candidate.affinity_tokens + static_cast<double>(random_() % 64);
+    if (jittered_cost < best_cost) {
+      best_cost = jittered_cost;
       best = &candidate;
     }
-    reckoned += candidate.others_sent;
+    total_arrivals += candidate.expected_arrivals;
   }
-  if (reckoned == 0) {
+  if (total_arrivals == 0) {
     return *best;
   }
-  // Like the others' requests: with the share of them that goes to each.
-  std::uint64_t draw = random_() % reckoned;
+  // Follows the distribution of the estimated arrivals.
+  std::uint64_t draw = random_() % total_arrivals;
   for (const Candidate& candidate : candidates) {
-    if (draw < candidate.others_sent) {
-      const bool follows = best->affinity - candidate.affinity >= kWorthFollowing;
-      return follows ? *best : candidate;
+    if (draw < candidate.expected_arrivals) {
+      const bool prefers_affinity =
+          best->affinity_tokens - candidate.affinity_tokens >= kMinAffinityAdvantage;
+      return prefers_affinity ? *best : candidate;
     }
-    draw -= candidate.others_sent;
+    draw -= candidate.expected_arrivals;
   }
   return *best;
 }
 
-StartForecast Balancer::Forecast(const Candidate& candidate, const BalancerAsk& ask) const {
-  const Duration hold = times_.TypicalHoldTime(ask.service, ask.terms.model);
-  const std::uint32_t requests = candidate.load.requests + candidate.others_sent;
+StartForecast Balancer::Forecast(const Candidate& candidate, const BalancerQuery& query) const {
+  const Duration hold_time = times_.TypicalHoldTime(query.service, query.terms.model);
+  const std::uint32_t requests = candidate.load.requests + candidate.expected_arrivals;
   const std::uint32_t deferred = std::min(requests, candidate.load.deferred);
-  // What the others' prompts were when their loads were told has been read on since.
+  // Part of the other nodes' reported prompts has been processed since.
   const auto read_since = static_cast<std::uint64_t>(
-      kLoadsAgeMilliseconds * times_.TokensPerMillisecond(ask.service, ask.terms.model));
+      kLoadsAgeMilliseconds * times_.TokensPerMillisecond(query.service, query.terms.model));
   const std::uint64_t others = candidate.load.unread_tokens - candidate.own.unread_tokens;
   const std::uint64_t unread = candidate.own.unread_tokens + candidate.unread_tokens +
                                (others - std::min(others, read_since));
-  const Duration read = times_.FirstEventTime(ask.service, ask.terms.model, unread);
+  const Duration first_event_time = times_.FirstEventTime(query.service, query.terms.model, unread);
   StartForecast forecast;
-  forecast.behind_all = WaitForPlace(requests, candidate.slots, hold) + read;
-  forecast.in_turn = WaitForPlace(requests - deferred, candidate.slots, hold) + read;
+  forecast.if_deferred = EstimateSlotWait(requests, candidate.slots, hold_time) + first_event_time;
+  forecast.if_admitted =
+      EstimateSlotWait(requests - deferred, candidate.slots, hold_time) + first_event_time;
   return forecast;
 }
 
-std::variant<Choice, NoEndpoint> Balancer::Choose(const FleetView& view,
-                                                  const BalancerAsk& ask,
-                                                  TimePoint now) {
-  const auto listed = view.by_service.find(ask.service);
+std::variant<EndpointChoice, NoEndpointReason> Balancer::Choose(const FleetView& view,
+                                                                const BalancerQuery& query,
+                                                                TimePoint now) {
+  const auto listed = view.by_service.find(query.service);
   if (listed == view.by_service.end() || listed->second.empty()) {
-    return NoEndpoint::kNone;
+    return NoEndpointReason::kNoEndpoints;
   }
-  Candidates found = FindCandidates(view, ask, listed->second, now);
+  Candidates found = FindCandidates(view, query, listed->second, now);
   std::vector<Candidate>& candidates = found.usable;
   if (candidates.empty()) {
-    return found.limit_reached ? NoEndpoint::kLimited : NoEndpoint::kNotResident;
+    return found.any_rate_limited ? NoEndpointReason::kRateLimited : NoEndpointReason::kNotResident;
   }
-  Weights weights;
-  weights.engine = !ask.terms.model.empty();
-  if (weights.engine) {
-    weights.hold = times_.TypicalHoldTime(ask.service, ask.terms.model);
-    weights.tokens_per_millisecond = times_.TokensPerMillisecond(ask.service, ask.terms.model);
-    weights.prompt_tokens = static_cast<double>(ask.terms.tokens_in);
-    ReckonOthers(candidates, weights);
+  RequestCosts costs;
+  costs.is_model_request = !query.terms.model.empty();
+  if (costs.is_model_request) {
+    costs.hold_time = times_.TypicalHoldTime(query.service, query.terms.model);
+    costs.tokens_per_millisecond = times_.TokensPerMillisecond(query.service, query.terms.model);
+    costs.prompt_tokens = static_cast<double>(query.terms.tokens_in);
+    EstimateArrivals(candidates, costs);
   }
-  const Candidate& picked = Pick(candidates, weights);
-  Choice choice;
+  const Candidate& picked = Pick(candidates, costs);
+  EndpointChoice choice;
   choice.index = picked.index;
   choice.load = picked.load;
-  choice.load.requests += picked.others_sent;
-  choice.holding = static_cast<std::uint32_t>(candidates.size());
-  choice.others_unlimited = std::any_of(
+  choice.load.requests += picked.expected_arrivals;
+  choice.candidate_count = static_cast<std::uint32_t>(candidates.size());
+  choice.has_unlimited_alternative = std::any_of(
       candidates.begin(), candidates.end(),
-      [&](const Candidate& candidate) { return !candidate.limited && &candidate != &picked; });
-  choice.added.requests = 1;
-  if (weights.engine) {
-    choice.added.unread_tokens = picked.unread_tokens;
-    choice.forecast = Forecast(picked, ask);
-    choice.hold = times_.HoldTime(ask.service, ask.terms.model, ask.terms.tokens_out);
+      [&](const Candidate& candidate) { return !candidate.rate_limited && &candidate != &picked; });
+  choice.added_load.requests = 1;
+  if (costs.is_model_request) {
+    choice.added_load.unread_tokens = picked.unread_tokens;
+    choice.forecast = Forecast(picked, query);
+    choice.hold_time = times_.HoldTime(query.service, query.terms.model, query.terms.tokens_out);
   }
   return choice;
 }
 
 void Balancer::Started(const std::string& instance,
                        const RequestTerms& terms,
-                       const EndpointLoad& added,
+                       const EndpointLoad& added_load,
                        TimePoint now) {
   Endpoint& endpoint = endpoints_[instance];
-  endpoint.load += added;
+  endpoint.load += added_load;
   for (std::size_t i = 0; i < terms.prompt.size(); ++i) {
-    endpoint.read_prompts[PromptHash(terms, i + 1)] = now;
+    endpoint.cached_prefixes[PromptPrefixHash(terms, i + 1)] = now;
   }
 }
 
-void Balancer::Begun(const std::string& instance, EndpointLoad& added) {
+void Balancer::AnswerStarted(const std::string& instance, EndpointLoad& added_load) {
   Endpoint& endpoint = endpoints_[instance];
-  endpoint.load.unread_tokens -= std::min(endpoint.load.unread_tokens, added.unread_tokens);
-  endpoint.load.deferred -= std::min(endpoint.load.deferred, added.deferred);
-  added.unread_tokens = 0;
-  added.deferred = 0;
+  endpoint.load.unread_tokens -= std::min(endpoint.load.unread_tokens, added_load.unread_tokens);
+  endpoint.load.deferred -= std::min(endpoint.load.deferred, added_load.deferred);
+  added_load.unread_tokens = 0;
+  added_load.deferred = 0;
 }
 
-void Balancer::Ended(const std::string& instance,
-                     const EndpointLoad& added,
-                     AttemptMark mark,
-                     TimePoint now) {
+void Balancer::RequestEnded(const std::string& instance,
+                            const EndpointLoad& added_load,
+                            EndpointFeedback feedback,
+                            TimePoint now) {
   Endpoint& endpoint = endpoints_[instance];
-  endpoint.load -= added;
-  if (mark == AttemptMark::kServed) {
-    endpoint.failures = 0;
+  endpoint.load -= added_load;
+  if (feedback == EndpointFeedback::kServed) {
+    endpoint.consecutive_failures = 0;
     endpoint.avoid_until = TimePoint();
-  } else if (mark == AttemptMark::kFailed || mark == AttemptMark::kShed) {
-    const std::uint32_t doublings = std::min(endpoint.failures, kMostDoublings);
-    endpoint.avoid_until = now + std::min(kAvoidMost, kAvoidLeast * (1 << doublings));
-    ++endpoint.failures;
+  } else if (feedback == EndpointFeedback::kFailed || feedback == EndpointFeedback::kShed) {
+    const std::uint32_t doublings = std::min(endpoint.consecutive_failures, kMaxDoublings);
+    endpoint.avoid_until = now + std::min(kMaxAvoidTime, kMinAvoidTime * (1 << doublings));
+    ++endpoint.consecutive_failures;
   }
 }
 
-void Balancer::NotResident(const std::string& instance, const RequestTerms& terms, TimePoint now) {
-  endpoints_[instance].absent_until[UnitOf(terms)] = now + kAbsentFor;
+void Balancer::MarkNotResident(const std::string& instance,
+                               const RequestTerms& terms,
+                               TimePoint now) {
+  endpoints_[instance].not_resident_until[UnitOf(terms)] = now + kNotResidentTime;
 }
 
 LoadTable Balancer::Loads() const {
@@ -346,11 +354,12 @@
     return !known.contains(entry.first) && entry.second.load.requests == 0;
   });
   for (auto& [instance, endpoint] : endpoints_) {
-    std::erase_if(endpoint.absent_until, [&](const auto& unit) { return unit.second <= now; });
-    const bool many = endpoint.read_prompts.size() > kPromptsKept;
-    const Duration kept = many ? kPromptsKeptFor / 6 : kPromptsKeptFor;
-    std::erase_if(endpoint.read_prompts,
-                  [&](const auto& prompt) { return now - prompt.second > kept; });
+    std::erase_if(endpoint.not_resident_until,
+                  [&](const auto& unit) { return unit.second <= now; });
+    const bool many = endpoint.cached_prefixes.size() > kMaxCachedPrefixes;
+    const Duration lifetime = many ? kCachedPrefixLifetime / 6 : kCachedPrefixLifetime;
+    std::erase_if(endpoint.cached_prefixes,
+                  [&](const auto& prompt) { return now - prompt.second > lifetime; });
   }
 }
 
--- a/src/rudderloom/forwarding/call_guard.cpp
+++ b/src/rudderloom/forwarding/call_guard.cpp
@@ -6,11 +6,11 @@
 
 CallGuard::CallGuard(asio::io_context& context,
                      CallGuards& guards,
-                     TimePoint time_up,
-                     std::function<bool()> may_give_up)
-    : guards_(guards), state_(std::make_shared<State>(context, time_up)) {
+                     TimePoint deadline_at,
+                     std::function<bool()> may_abandon_endpoint)
+    : guards_(guards), state_(std::make_shared<State>(context, deadline_at)) {
   guards_.insert(this);
-  state_->may_give_up = std::move(may_give_up);
+  state_->may_abandon_endpoint = std::move(may_abandon_endpoint);
   Arm(state_);
 }
 
@@ -20,42 +20,42 @@
   state_->timer.cancel();
 }
 
-void CallGuard::Attach(EndpointConnection* connection) {
+void CallGuard::SetConnection(EndpointConnection* connection) {
   state_->connection = connection;
-  if (connection != nullptr && state_->why != Interruption::kNone) {
+  if (connection != nullptr && state_->cause != Interruption::kNone) {
     connection->Close();
   }
 }
 
-void CallGuard::ExpectBefore(std::optional<TimePoint> moment) {
-  state_->silent_at = moment;
-  // A later moment is noticed when the timer fires; only an earlier one needs it armed anew.
-  if (moment && *moment < state_->armed_for) {
+void CallGuard::SetResponseDeadline(std::optional<TimePoint> deadline) {
+  state_->response_deadline = deadline;
+  // A later deadline is handled when the timer fires; only an earlier one requires rearming.
+  if (deadline && *deadline < state_->timer_expiry) {
     Arm(state_);
   }
 }
 
-void CallGuard::ClientGone() {
-  Interrupt(*state_, Interruption::kClientGone);
+void CallGuard::ClientDisconnected() {
+  Interrupt(*state_, Interruption::kClientDisconnected);
 }
 
-void CallGuard::TimeUp() {
-  Interrupt(*state_, Interruption::kTimeUp);
+void CallGuard::ExpireDeadline() {
+  Interrupt(*state_, Interruption::kDeadlineExceeded);
 }
 
-void CallGuard::ForgetSilence() {
-  state_->silent_at.reset();
-  if (state_->why == Interruption::kSilent) {
-    state_->why = Interruption::kNone;
+void CallGuard::ClearSilence() {
+  state_->response_deadline.reset();
+  if (state_->cause == Interruption::kEndpointSilent) {
+    state_->cause = Interruption::kNone;
     Arm(state_);
   }
 }
 
-void CallGuard::Interrupt(State& state, Interruption why) {
-  if (state.why != Interruption::kNone && state.why != Interruption::kSilent) {
+void CallGuard::Interrupt(State& state, Interruption cause) {
+  if (state.cause != Interruption::kNone && state.cause != Interruption::kEndpointSilent) {
     return;
   }
-  state.why = why;
+  state.cause = cause;
   state.wait_timer.cancel();
   if (state.connection != nullptr) {
     state.connection->Close();
@@ -63,24 +63,25 @@
 }
 
 void CallGuard::Arm(const std::shared_ptr<State>& state) {
-  state->armed_for =
-      state->silent_at ? std::min(*state->silent_at, state->time_up) : state->time_up;
-  state->timer.expires_at(state->armed_for);
+  state->timer_expiry = state->response_deadline
+                            ? std::min(*state->response_deadline, state->deadline_at)
+                            : state->deadline_at;
+  state->timer.expires_at(state->timer_expiry);
   state->timer.async_wait([state](boost::system::error_code error) {
-    if (error || !state->alive || state->why != Interruption::kNone) {
+    if (error || !state->alive || state->cause != Interruption::kNone) {
       return;
     }
     const TimePoint now = Now();
-    if (now >= state->time_up) {
-      Interrupt(*state, Interruption::kTimeUp);
+    if (now >= state->deadline_at) {
+      Interrupt(*state, Interruption::kDeadlineExceeded);
       return;
     }
-    if (state->silent_at && now >= *state->silent_at) {
-      if (state->may_give_up()) {
-        Interrupt(*state, Interruption::kSilent);
+    if (state->response_deadline && now >= *state->response_deadline) {
+      if (state->may_abandon_endpoint()) {
+        Interrupt(*state, Interruption::kEndpointSilent);
         return;
       }
-      state->silent_at.reset();
+      state->response_deadline.reset();
     }
     Arm(state);
   });
--- a/src/rudderloom/forwarding/crash_check.cpp
+++ b/src/rudderloom/forwarding/crash_check.cpp
@@ -6,44 +6,44 @@
 
 namespace {
 
-void TellSoon(ForwardingState& state) {
+void RequestSampleIfNews(ForwardingState& state) {
   if (state.crashes.HasNews()) {
     state.sample_soon();
   }
 }
 
-Awaitable<void> Ask(ForwardingState& state, EndpointRecord endpoint) {
+Awaitable<void> CheckListening(ForwardingState& state, EndpointRecord endpoint) {
   const bool ended = co_await NobodyListens(state.context, endpoint.address, kListeningAnswer);
   if (ended) {
-    NoteEnded(state, endpoint);
+    RecordEndpointEnd(state, endpoint);
   }
 }
 
 }  // namespace
 
-void NoteBreak(ForwardingState& state,
-               const EndpointRecord& endpoint,
-               const RequestDigest& request,
-               TimePoint sent_at) {
+void RecordConnectionBreak(ForwardingState& state,
+                           const EndpointRecord& endpoint,
+                           const RequestDigest& request,
+                           TimePoint sent_at) {
   if (state.crashes.Broke(endpoint.instance, request, sent_at, Now())) {
-    asio::co_spawn(state.context, Ask(state, endpoint), asio::detached);
+    asio::co_spawn(state.context, CheckListening(state, endpoint), asio::detached);
   }
-  TellSoon(state);
+  RequestSampleIfNews(state);
 }
 
-void NoteEnded(ForwardingState& state, const EndpointRecord& endpoint) {
+void RecordEndpointEnd(ForwardingState& state, const EndpointRecord& endpoint) {
   state.crashes.Ended(endpoint.instance, Now());
-  TellSoon(state);
+  RequestSampleIfNews(state);
 }
 
-void NoteAnswered(ForwardingState& state, const RequestDigest& request) {
+void RecordAnswered(ForwardingState& state, const RequestDigest& request) {
   state.crashes.Answered(request, state.views.Current()->quarantine);
-  TellSoon(state);
+  RequestSampleIfNews(state);
 }
 
-void NoteCleared(ForwardingState& state, const RequestDigest& request) {
+void RecordCleared(ForwardingState& state, const RequestDigest& request) {
   state.crashes.Cleared(request);
-  TellSoon(state);
+  RequestSampleIfNews(state);
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/crash_check.hpp
+++ b/src/rudderloom/forwarding/crash_check.hpp
@@ -1,4 +1,4 @@
-// Finds out whether an endpoint whose connection broke under a request has ended.
+// Reports connection breaks, endpoint ends and completed requests for crash detection.
 #ifndef RUDDERLOOM_FORWARDING_CRASH_CHECK_HPP
 #define RUDDERLOOM_FORWARDING_CRASH_CHECK_HPP
 
@@ -6,21 +6,21 @@
 
 namespace rudderloom {
 
-// The endpoint's connection broke under the request: asks, beside the request, whether the endpoint
-// still listens, and tells the control state when it doesn't.
-void NoteBreak(ForwardingState& state,
-               const EndpointRecord& endpoint,
-               const RequestDigest& request,
-               TimePoint sent_at);
+// Records that the connection broke during the request. Checks in the background whether the
+// endpoint still listens, and reports its end to the control state if not.
+void RecordConnectionBreak(ForwardingState& state,
+                           const EndpointRecord& endpoint,
+                           const RequestDigest& request,
+                           TimePoint sent_at);
 
-// Nobody listens at the endpoint's address.
-void NoteEnded(ForwardingState& state, const EndpointRecord& endpoint);
+// Records that no process listens at the endpoint's address.
+void RecordEndpointEnd(ForwardingState& state, const EndpointRecord& endpoint);
 
-// An endpoint has answered the request whole: it is not one that ends endpoints.
-void NoteAnswered(ForwardingState& state, const RequestDigest& request);
+// Records a complete answer, which clears the request of suspicion of crashing endpoints.
+void RecordAnswered(ForwardingState& state, const RequestDigest& request);
 
-// An operator lets the request go.
-void NoteCleared(ForwardingState& state, const RequestDigest& request);
+// Records that an operator released the request from quarantine.
+void RecordCleared(ForwardingState& state, const RequestDigest& request);
 
 }  // namespace rudderloom
 
--- a/src/rudderloom/forwarding/endpoint_connection.cpp
+++ b/src/rudderloom/forwarding/endpoint_connection.cpp
@@ -14,12 +14,12 @@
 
 namespace {
 
-constexpr std::size_t kPieceBytes = 16 * 1024;
-constexpr std::size_t kIdlePerInstance = 32;
-constexpr Duration kSilenceLimit{3'000};
-constexpr Duration kUsualKeepTime{4'000};
-// The endpoint may close a moment before the time it told.
-constexpr Duration kKeepMargin{1'000};
+constexpr std::size_t kReadBufferBytes = 16 * 1024;
+constexpr std::size_t kMaxIdlePerInstance = 32;
+constexpr Duration kPeerSilenceLimit{3'000};
+constexpr Duration kDefaultKeepAlive{4'000};
+// The endpoint may close slightly before the announced time.
+constexpr Duration kKeepAliveMargin{1'000};
 
 }  // namespace
 
@@ -39,7 +39,7 @@
   }
   boost::system::error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
-  GuardAgainstSilence(socket_, kSilenceLimit);
+  GuardAgainstSilence(socket_, kPeerSilenceLimit);
   co_return std::nullopt;
 }
 
@@ -60,10 +60,10 @@
 }
 
 Awaitable<std::variant<EndpointConnection::End, ConnectionFailure>> EndpointConnection::ReadHead(
-    bool answers_head) {
+    bool is_head_request) {
   parser_ = std::make_unique<Parser>();
   parser_->body_limit(std::numeric_limits<std::uint64_t>::max());
-  parser_->skip(answers_head);
+  parser_->skip(is_head_request);
   const auto [error, size] = co_await http::async_read_header(socket_, buffer_, *parser_, kAsTuple);
   if (error) {
     co_return Failure(error);
@@ -77,14 +77,14 @@
 
 Awaitable<std::variant<std::string, EndpointConnection::End, ConnectionFailure>>
 EndpointConnection::ReadSome() {
-  std::array<char, kPieceBytes> piece;
+  std::array<char, kReadBufferBytes> chunk;
   while (!parser_->is_done()) {
-    parser_->get().body().data = piece.data();
-    parser_->get().body().size = piece.size();
+    parser_->get().body().data = chunk.data();
+    parser_->get().body().size = chunk.size();
     const auto [error, size] = co_await http::async_read_some(socket_, buffer_, *parser_, kAsTuple);
-    const std::size_t got = piece.size() - parser_->get().body().size;
-    if (got > 0) {
-      co_return std::string(piece.data(), got);
+    const std::size_t received = chunk.size() - parser_->get().body().size;
+    if (received > 0) {
+      co_return std::string(chunk.data(), received);
     }
     if (error && error != http::error::need_buffer) {
       co_return Failure(error);
@@ -95,43 +95,43 @@
 
 Awaitable<std::optional<ConnectionFailure>> EndpointConnection::SkipBody() {
   while (true) {
-    auto piece = co_await ReadSome();
-    if (auto* failure = std::get_if<ConnectionFailure>(&piece)) {
+    auto chunk = co_await ReadSome();
+    if (auto* failure = std::get_if<ConnectionFailure>(&chunk)) {
       co_return std::move(*failure);
     }
-    if (std::holds_alternative<End>(piece)) {
+    if (std::holds_alternative<End>(chunk)) {
       co_return std::nullopt;
     }
   }
 }
 
 bool EndpointConnection::Reusable() const {
-  return trusted_ && socket_.is_open() && parser_ && parser_->is_done() &&
+  return may_reuse_ && socket_.is_open() && parser_ && parser_->is_done() &&
          parser_->get().keep_alive() && !parser_->get().need_eof() && buffer_.size() == 0 &&
          write_ && write_->done && !write_->failed;
 }
 
-bool EndpointConnection::StillQuiet() {
+bool EndpointConnection::IsIdle() {
   char byte = 0;
-  const auto got = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
-  return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
+  const auto received = ::recv(socket_.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
+  return received < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
 }
 
-Duration EndpointConnection::KeptFor() const {
+Duration EndpointConnection::KeepAliveTime() const {
   const auto found = Head().find(http::field::keep_alive);
   if (found == Head().end()) {
-    return kUsualKeepTime;
+    return kDefaultKeepAlive;
   }
   const std::string_view text(found->value().data(), found->value().size());
   constexpr std::string_view kTimeout = "timeout=";
   const std::size_t at = text.find(kTimeout);
   if (at == std::string_view::npos) {
-    return kUsualKeepTime;
+    return kDefaultKeepAlive;
   }
   int seconds = 0;
   std::from_chars(text.data() + at + kTimeout.size(), text.data() + text.size(), seconds);
-  const Duration told = std::chrono::seconds(seconds);
-  return std::max(told - kKeepMargin, told / 4);
+  const Duration announced = std::chrono::seconds(seconds);
+  return std::max(announced - kKeepAliveMargin, announced / 4);
 }
 
 void EndpointConnection::Close() {
@@ -149,7 +149,7 @@
   while (!connections.empty()) {
     Idle idle = std::move(connections.back());
     connections.pop_back();
-    if (now < idle.good_until && idle.connection->StillQuiet()) {
+    if (now < idle.reusable_until && idle.connection->IsIdle()) {
       return std::move(idle.connection);
     }
   }
@@ -160,17 +160,17 @@
                          std::unique_ptr<EndpointConnection> connection,
                          TimePoint now) {
   auto& connections = idle_[instance];
-  if (!connection->Reusable() || connections.size() >= kIdlePerInstance) {
+  if (!connection->Reusable() || connections.size() >= kMaxIdlePerInstance) {
     return;
   }
-  const TimePoint good_until = now + connection->KeptFor();
-  connections.push_back({std::move(connection), now, good_until});
+  const TimePoint reusable_until = now + connection->KeepAliveTime();
+  connections.push_back({std::move(connection), now, reusable_until});
 }
 
-void ConnectionPool::DropSince(const std::string& instance, TimePoint moment) {
+void ConnectionPool::DropIdleSince(const std::string& instance, TimePoint since) {
   const auto found = idle_.find(instance);
   if (found != idle_.end()) {
-    std::erase_if(found->second, [&](const Idle& idle) { return idle.used_at <= moment; });
+    std::erase_if(found->second, [&](const Idle& idle) { return idle.idle_since <= since; });
   }
 }
 
@@ -178,7 +178,7 @@
   const std::set<std::string> known(instances.begin(), instances.end());
   std::erase_if(idle_, [&](const auto& entry) { return !known.contains(entry.first); });
   for (auto& [instance, connections] : idle_) {
-    std::erase_if(connections, [&](const Idle& idle) { return now >= idle.good_until; });
+    std::erase_if(connections, [&](const Idle& idle) { return now >= idle.reusable_until; });
   }
 }
 
--- a/src/rudderloom/forwarding/event_framer.cpp
+++ b/src/rudderloom/forwarding/event_framer.cpp
@@ -9,13 +9,13 @@
 
 constexpr std::string_view kIdField = "id:";
 
-// Where the first event ends, after its blank line; npos while it is not whole.
+// Returns the end of the first event including its blank line; npos if it is incomplete.
 std::size_t EndOfEvent(std::string_view text) {
   std::size_t end = std::string_view::npos;
-  for (const std::string_view blank : {"\n\n", "\r\n\r\n"}) {
-    const std::size_t found = text.find(blank);
+  for (const std::string_view separator : {"\n\n", "\r\n\r\n"}) {
+    const std::size_t found = text.find(separator);
     if (found != std::string_view::npos) {
-      end = std::min(end, found + blank.size());
+      end = std::min(end, found + separator.size());
     }
   }
   return end;
@@ -59,7 +59,7 @@
     return Verdict::kPass;
   }
   if (last_ && *event.id <= *last_) {
-    return Verdict::kRepeated;
+    return Verdict::kDuplicate;
   }
   if (last_) {
     const std::uint64_t step = *event.id - *last_;
--- a/src/rudderloom/forwarding/forward_refusal.cpp
+++ b/src/rudderloom/forwarding/forward_refusal.cpp
@@ -26,7 +26,7 @@
       return "connect";
     case ForwardRefusal::kBroken:
       return "broken";
-    case ForwardRefusal::kTimeUp:
+    case ForwardRefusal::kDeadlineExceeded:
       return "time_up";
     case ForwardRefusal::kEndpointLimit:
       return "endpoint_limit";
@@ -46,11 +46,11 @@
   if (refusal == ForwardRefusal::kOverQuota) {
     return 429;
   }
-  if (refusal == ForwardRefusal::kTimeUp) {
+  if (refusal == ForwardRefusal::kDeadlineExceeded) {
     return 504;
   }
-  // Earlier tries of it have run. A caller that takes a 4xx for an answer would give up for good
-  // also where the request was under way by mere chance.
+  // Earlier attempts have run. A caller that treats a 4xx as final would give up for good even if
+  // its request was in flight by chance when the endpoint crashed.
   if (refusal == ForwardRefusal::kQuarantined) {
     return 502;
   }
--- a/src/rudderloom/forwarding/forward_refusal.hpp
+++ b/src/rudderloom/forwarding/forward_refusal.hpp
@@ -1,4 +1,4 @@
-// Why a client's request gets no answer from an endpoint.
+// Reasons for refusing a client's request without an endpoint's answer.
 #ifndef RUDDERLOOM_FORWARDING_FORWARD_REFUSAL_HPP
 #define RUDDERLOOM_FORWARDING_FORWARD_REFUSAL_HPP
 
@@ -9,24 +9,24 @@
 enum class ForwardRefusal {
   kNoConfiguration,
   kNoRoute,
-  kUnknownKey,  // the route asks for a customer's key, and the caller shows none that anybody holds
-  kOverQuota,   // the customer has asked for more than its limit
-  kNoEndpoint,  // the service has none
-  kNotResident,    // no endpoint holds the model or adapter
-  kOverloaded,     // its client would have left before an answer began
-  kStopping,       // this node is about to stop
-  kShed,           // the last endpoint promised that it did not run the request
-  kConnect,        // the last endpoint could not be reached
-  kBroken,         // the last endpoint may have run the request and gave no whole answer
-  kTimeUp,         // the client's deadline or the route's timeout
-  kEndpointLimit,  // all endpoints that could take it accept no more requests at present
-  kQuarantined,    // endpoints have ended under it, wherever it came to run
+  kUnknownKey,        // the route requires a customer key, and the caller sent none that is known
+  kOverQuota,         // the customer exceeded its quota
+  kNoEndpoint,        // the service has no endpoint
+  kNotResident,       // no endpoint holds the model or adapter
+  kOverloaded,        // the client would give up before the answer begins
+  kStopping,          // this node is stopping
+  kShed,              // the last endpoint guaranteed that the request did not run
+  kConnect,           // the last endpoint could not be reached
+  kBroken,            // the last endpoint may have run the request but gave no complete answer
+  kDeadlineExceeded,  // the client's deadline or the route's timeout passed
+  kEndpointLimit,     // all candidate endpoints have reached their rate limit
+  kQuarantined,       // endpoints crashed while running it
 };
 
-// As it stands in counters, logs and the answer's body.
+// Name used in metrics, logs and the answer's body.
 std::string_view NameOf(ForwardRefusal refusal);
 
-// What the client is told; 503 promises that the request has not run.
+// HTTP status of the refusal. 503 guarantees that the request has not run.
 unsigned StatusOf(ForwardRefusal refusal, bool may_have_run);
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/forwarder.cpp
+++ b/src/rudderloom/forwarding/forwarder.cpp
@@ -4,13 +4,13 @@
 #include <optional>   // for optional
 #include <utility>    // for move
 
-#include "forwarding/arrival.hpp"                // for Arrival
+#include "forwarding/request_checks.hpp"         // for RequestChecks
 #include "forwarding/attempt.hpp"                // for RunAttempt
-#include "forwarding/crash_check.hpp"            // for NoteBreak
+#include "forwarding/crash_check.hpp"            // for RecordConnectionBreak
 #include "forwarding/forward_refusal.hpp"        // for ForwardRefusal
-#include "forwarding/limit_check.hpp"            // for TakePermit
+#include "forwarding/limit_check.hpp"            // for AcquirePermit
 #include "forwarding/request_end.hpp"            // for LogRequestEnd, LogFailedAttempt
-#include "forwarding/request_samples.hpp"        // for LearnTimes, OfferedTime
+#include "forwarding/request_samples.hpp"        // for RecordServiceTimes, OfferedTime
 #include "forwarding/tried_endpoints.hpp"        // for TriedEndpoints
 #include "rudderloom/forwarding/call_guard.hpp"  // for CallGuard
 
@@ -18,55 +18,56 @@
 
 namespace {
 
-// Less time than this is not worth an attempt.
-constexpr Duration kLeastForAttempt{40};
-constexpr Duration kComeBackSoon{300};
-// A client that comes back later than this will hardly find its deadline open.
-constexpr Duration kComeBackMost{8'000};
-constexpr std::uint32_t kMostConnectFailures = 4;
-// For endpoints with limits. Each takes some 5 ms; after that only other endpoints are used.
-constexpr std::uint32_t kMostPermitAsks = 4;
-constexpr double kSilenceGoals = 2.5;
-constexpr int kSilencePauses = 4;
+// Remaining time below which no attempt is started.
+constexpr Duration kMinAttemptTime{40};
+constexpr Duration kMinRetryDelay{300};
+// Clients that retry later than this are usually past their deadline.
+constexpr Duration kMaxRetryDelay{8'000};
+constexpr std::uint32_t kMaxConnectFailures = 4;
+// For rate-limited endpoints. Each permit request takes about 5 ms; after the last one only
+// endpoints without a limit are used.
+constexpr std::uint32_t kMaxPermitRequests = 4;
+constexpr double kAnswerTimeoutGoals = 2.5;
+constexpr int kEventTimeoutPauses = 4;
 constexpr unsigned kTooManyRequests = 429;
 constexpr unsigned kUnavailable = 503;
 
-// One request of a client, over all its attempts.
-class ForwardCall {
+// Handles one client request over all its attempts.
+class RequestForwarder {
  public:
-  ForwardCall(ForwardingState& state, HttpExchange& exchange)
+  RequestForwarder(ForwardingState& state, HttpExchange& exchange)
       : state_(state),
         exchange_(exchange),
         arrived_(Now()),
         terms_(state.dialect.ReadRequest(exchange.Request())),
-        arrival_(state, exchange, terms_, arrived_) {}
+        checks_(state, exchange, terms_, arrived_) {}
 
   Awaitable<void> Run() {
-    const auto refusal = co_await arrival_.Check();
-    routes_ = arrival_.Routes();
-    route_ = arrival_.TheRoute();
+    const auto refusal = co_await checks_.Check();
+    routes_ = checks_.Routes();
+    route_ = checks_.MatchedRoute();
     if (refusal) {
-      come_back_ = arrival_.ComeBack();
+      retry_delay_ = checks_.RetryDelay();
       co_await Refuse(*refusal);
       co_return;
     }
     service_ = ChooseService(*route_, state_.random());
-    state_.retries.Requested(service_, arrived_);
-    const Duration timeout = std::min(route_->timeout, terms_.deadline.value_or(kUsualDeadline));
-    time_up_ = std::min(arrived_ + timeout, state_.stop_deadline);
+    state_.retries.CountRequest(service_, arrived_);
+    const Duration timeout = std::min(route_->timeout, terms_.deadline.value_or(kDefaultDeadline));
+    deadline_at_ = std::min(arrived_ + timeout, state_.stop_deadline);
     CountDemand();
-    CallGuard guard(state_.context, state_.guards, time_up_,
-                    [this] { return MayGiveUpEndpoint(); });
+    CallGuard guard(state_.context, state_.guards, deadline_at_,
+                    [this] { return MayAbandonEndpoint(); });
     guard_ = &guard;
-    exchange_.WatchPeer([&guard] { guard.ClientGone(); });
-    co_await Attempts();
+    exchange_.WatchPeer([&guard] { guard.ClientDisconnected(); });
+    co_await TryEndpoints();
     exchange_.StopWatching();
     guard_ = nullptr;
   }
 
  private:
-  // Counts how long the request would be at an endpoint. Requests that are refused count too: a
-  // model under a burst would look idle otherwise.
+  // Adds the request's expected service time to the demand. Refused requests count too; otherwise a
+  // model under a burst would look idle.
   void CountDemand() {
     const Duration offered = OfferedTime(state_.balancer.Times(), service_, terms_);
     for (const UnitName& unit : RequestedUnits(service_, terms_)) {
@@ -74,234 +75,242 @@
     }
   }
 
-  // Tries endpoints until one answered or there is no sense in another.
-  Awaitable<void> Attempts() {
+  // Tries endpoints until one has answered or no further attempt makes sense.
+  Awaitable<void> TryEndpoints() {
     while (true) {
       const FleetViewPtr view = state_.views.Current();
-      if (attempts_ == 0 && arrival_.KeyTakenAway(*view)) {
+      if (attempts_ == 0 && checks_.KeyRevoked(*view)) {
         co_await Refuse(ForwardRefusal::kUnknownKey);
         co_return;
       }
-      if (arrival_.Quarantined(*view)) {
+      if (checks_.Quarantined(*view)) {
         co_await Refuse(ForwardRefusal::kQuarantined);
         co_return;
       }
-      const BalancerAsk ask{service_, terms_, tried_.Excluded(), &state_.limits,
-                            permits_asked_ >= kMostPermitAsks};
-      auto chosen = state_.balancer.Choose(*view, ask, Now());
-      if (auto* none = std::get_if<NoEndpoint>(&chosen)) {
+      const BalancerQuery query{service_, terms_, tried_.Excluded(), &state_.limits,
+                                permit_requests_ >= kMaxPermitRequests};
+      auto chosen = state_.balancer.Choose(*view, query, Now());
+      if (auto* none = std::get_if<NoEndpointReason>(&chosen)) {
         if (!co_await AwaitEndpoint(*none)) {
           co_return;
         }
         continue;
       }
-      last_choice_ = std::get<Choice>(chosen);
+      last_choice_ = std::get<EndpointChoice>(chosen);
       for (const UnitName& unit : RequestedUnits(service_, terms_)) {
-        state_.missing.Found(unit);
+        state_.missing.MarkResident(unit);
       }
-      admission_ = JudgeChoice();
+      admission_ = CheckAdmission();
       if (admission_ == Admission::kRefused) {
         co_await Refuse(ForwardRefusal::kOverloaded);
         co_return;
       }
       const EndpointRecord endpoint = view->endpoints[last_choice_.index].record;
-      const bool permitted = co_await Permitted(endpoint);
+      const bool permitted = co_await ObtainPermit(endpoint);
       if (!permitted) {
-        const bool answered = co_await AnsweredInterruption();
+        const bool answered = co_await HandleInterruption();
         if (answered) {
           co_return;
         }
         continue;
       }
-      const AttemptResult result = co_await Try(endpoint, last_choice_.added);
-      if (!co_await Another(endpoint, result)) {
+      const AttemptResult result = co_await RunOneAttempt(endpoint, last_choice_.added_load);
+      if (!co_await HandleResult(endpoint, result)) {
         co_return;
       }
     }
   }
 
-  // What is to be done with a request for a model. What has begun goes on.
-  Admission JudgeChoice() const {
+  // Decides about admission of a model request. Requests that have started or been attempted are
+  // not refused.
+  Admission CheckAdmission() const {
     if (terms_.model.empty() || stream_.started || attempts_ > 0) {
-      return Admission::kInTurn;
+      return Admission::kAdmitted;
     }
-    return Admit(last_choice_.forecast, *route_, Between(arrived_, Now()));
+    return DecideAdmission(last_choice_.forecast, *route_, Between(arrived_, Now()));
   }
 
-  // Whether the endpoint accepts the request. Where others have no limit they come before a wait.
-  Awaitable<bool> Permitted(const EndpointRecord& endpoint) {
+  // Obtains a permit if the endpoint has a rate limit. Does not wait for one if other candidates
+  // have no limit.
+  Awaitable<bool> ObtainPermit(const EndpointRecord& endpoint) {
     if (!state_.limits.LimitOf(KeyOf(endpoint.instance))) {
       co_return true;
     }
-    ++permits_asked_;
+    ++permit_requests_;
     const Duration patience = Between(Now(), LatestStart());
-    const Duration most_wait = last_choice_.others_unlimited ? Duration(0) : kMostPermitWait;
-    co_return co_await TakePermit(state_, *guard_, endpoint, std::min(patience, most_wait));
+    const Duration max_wait =
+        last_choice_.has_unlimited_alternative ? Duration(0) : kMostPermitWait;
+    co_return co_await AcquirePermit(state_, *guard_, endpoint, std::min(patience, max_wait));
   }
 
-  // Shortly before the client gives up, or the request's time is over.
+  // Latest useful start: shortly before the client gives up or the deadline passes.
   TimePoint LatestStart() const {
-    return std::min(time_up_, arrived_ + route_->patience) - kLeastForAttempt;
+    return std::min(deadline_at_, arrived_ + route_->patience) - kMinAttemptTime;
   }
 
-  // When everything that the request asks for is likely to be at one endpoint.
-  TimePoint LikelyResident() {
+  // When the requested model and adapter are expected to be resident on one endpoint.
+  TimePoint ExpectedResidency() {
     if (tried_.AnyUnreachable()) {
-      return Now();  // it is there; the way to it comes back at any moment
+      return Now();  // an endpoint holds it and may become reachable at any moment
     }
     const ServiceSpec* service = routes_->Service(service_);
     const std::vector<UnitName> units = RequestedUnits(service_, terms_);
-    // The adapter can't come before its model, and nobody knows here which of both is missing.
-    const TimePoint assumed = state_.missing.Missed(units.back(), service, Now());
-    const auto told = FindExpected(state_.views.Current()->load_forecast, units.back());
-    if (!told) {
-      return assumed;
+    // An adapter is never resident without its model, and it is not known here which of them is
+    // missing.
+    const TimePoint estimated = state_.missing.Missed(units.back(), service, Now());
+    const auto announced = FindExpected(state_.views.Current()->load_forecast, units.back());
+    if (!announced) {
+      return estimated;
     }
     if (!waiting_ahead_) {
-      waiting_ahead_ = std::max(told->waiting, state_.units[units.back()].waiting);
+      waiting_ahead_ = std::max(announced->waiting, state_.units[units.back()].waiting);
     }
     const bool has_engine = service != nullptr && service->engine;
     const std::uint32_t slots = has_engine ? service->engine->slots : 1;
-    return std::max(told->ends_at, Now()) +
+    return std::max(announced->ends_at, Now()) +
            BacklogTime(state_.balancer.Times(), service_, terms_, *waiting_ahead_, slots);
   }
 
-  // No endpoint can take the request: goes back to one that failed it, or waits for a change; false
-  // once the request was answered.
-  Awaitable<bool> AwaitEndpoint(NoEndpoint why) {
-    if (tried_.TakeFailed()) {
+  // No endpoint can take the request: readmits one that failed, or waits for a new view. Returns
+  // false once the request has been answered.
+  Awaitable<bool> AwaitEndpoint(NoEndpointReason reason) {
+    if (tried_.ReadmitFailed()) {
       co_return true;
     }
-    if (why == NoEndpoint::kLimited) {
-      come_back_ = state_.limits.LeastWait(Now());
+    if (reason == NoEndpointReason::kRateLimited) {
+      retry_delay_ = state_.limits.LeastWait(Now());
       co_await Refuse(ForwardRefusal::kEndpointLimit);
       co_return false;
     }
-    const bool can_come = !terms_.model.empty() && !state_.stopping;
-    const TimePoint likely = can_come ? LikelyResident() : TimePoint::max();
-    if (!can_come || likely > LatestStart() || Now() >= LatestStart()) {
-      come_back_ = can_come ? Between(Now(), likely) : kComeBackSoon;
+    const bool may_become_resident = !terms_.model.empty() && !state_.stopping;
+    const TimePoint expected_at = may_become_resident ? ExpectedResidency() : TimePoint::max();
+    if (!may_become_resident || expected_at > LatestStart() || Now() >= LatestStart()) {
+      retry_delay_ = may_become_resident ? Between(Now(), expected_at) : kMinRetryDelay;
       state_.sample_soon();
-      co_await Refuse(RefusalWithoutEndpoint(why));
+      co_await Refuse(RefusalWithoutEndpoint(reason));
       co_return false;
     }
     co_await WaitForView();
-    tried_.TakeUnreachable();
-    co_return !co_await AnsweredInterruption();
+    tried_.ReadmitUnreachable();
+    co_return !co_await HandleInterruption();
   }
 
-  ForwardRefusal RefusalWithoutEndpoint(NoEndpoint why) const {
+  ForwardRefusal RefusalWithoutEndpoint(NoEndpointReason reason) const {
     if (!tried_.Excluded().empty()) {
       return last_refusal_;
     }
-    return why == NoEndpoint::kNone ? ForwardRefusal::kNoEndpoint : ForwardRefusal::kNotResident;
+    return reason == NoEndpointReason::kNoEndpoints ? ForwardRefusal::kNoEndpoint
+                                                    : ForwardRefusal::kNotResident;
   }
 
-  // Counts as demand meanwhile, so that the holder of the lease orders a load.
+  // Counts the request as waiting demand, so that the lease holder orders a load.
   Awaitable<void> WaitForView() {
-    const CountedRequest waiting(state_.units, RequestedUnits(service_, terms_),
-                                 &UnitCount::waiting);
+    const ScopedUnitCount waiting(state_.units, RequestedUnits(service_, terms_),
+                                  &UnitCount::waiting);
     state_.sample_soon();
     const TimePoint began = Now();
     co_await state_.views.WaitForNext(guard_->WaitTimer(), LatestStart());
     waited_ += Between(began, Now());
   }
 
-  Awaitable<AttemptResult> Try(const EndpointRecord& endpoint, EndpointLoad added) {
+  Awaitable<AttemptResult> RunOneAttempt(const EndpointRecord& endpoint, EndpointLoad added_load) {
     const TimePoint started = Now();
-    AttemptAsk ask;
-    ask.endpoint = endpoint;
-    ask.terms = &terms_;
-    ask.route = route_;
-    ask.time_up = time_up_;
-    ask.caller = arrival_.ForEndpoint();
-    ask.urgency = UrgencyOf(admission_, *route_, arrival_.Priority(), last_choice_.forecast,
-                            last_choice_.hold, Between(arrived_, started));
+    AttemptParams params;
+    params.endpoint = endpoint;
+    params.terms = &terms_;
+    params.route = route_;
+    params.deadline_at = deadline_at_;
+    params.caller = checks_.EndpointCaller();
+    params.urgency = UrgencyOf(admission_, *route_, checks_.Priority(), last_choice_.forecast,
+                               last_choice_.hold_time, Between(arrived_, started));
     if (admission_ == Admission::kDeferred) {
-      // It is read when a place is free for it, after the others' prompts.
-      added.deferred = added.requests;
-      added.unread_tokens = 0;
+      // Its prompt is processed once a slot is free, after the prompts of the other requests.
+      added_load.deferred = added_load.requests;
+      added_load.unread_tokens = 0;
       state_.metrics.Count({"rudderloom_deferred_total"});
     }
-    ask.first_silence = FirstSilence();
-    ask.later_silence = route_->longest_pause * kSilencePauses;
-    ask.stream = &stream_;
-    state_.balancer.Started(endpoint.instance, terms_, added, started);
-    ask.on_begun = [&] { state_.balancer.Begun(endpoint.instance, added); };
-    ask.on_sent = [this] { attempt_connecting_ = false; };
+    params.answer_timeout = AnswerTimeout();
+    params.event_timeout = route_->longest_pause * kEventTimeoutPauses;
+    params.stream = &stream_;
+    state_.balancer.Started(endpoint.instance, terms_, added_load, started);
+    params.on_answer_started = [&] {
+      state_.balancer.AnswerStarted(endpoint.instance, added_load);
+    };
+    params.on_sent = [this] { attempt_connecting_ = false; };
     attempt_instance_ = endpoint.instance;
     attempt_connecting_ = true;
     AttemptResult result;
     {
-      const CountedRequest running(state_.units, RequestedUnits(service_, terms_),
-                                   &UnitCount::running);
-      result = co_await RunAttempt(state_, exchange_, *guard_, std::move(ask));
+      const ScopedUnitCount running(state_.units, RequestedUnits(service_, terms_),
+                                    &UnitCount::running);
+      result = co_await RunAttempt(state_, exchange_, *guard_, std::move(params));
     }
-    state_.balancer.Ended(endpoint.instance, added, result.mark, Now());
+    state_.balancer.RequestEnded(endpoint.instance, added_load, result.feedback, Now());
     if (result.not_resident) {
-      state_.balancer.NotResident(endpoint.instance, terms_, Now());
+      state_.balancer.MarkNotResident(endpoint.instance, terms_, Now());
     }
     if (result.outcome == AttemptOutcome::kAnswered && attempts_ == 0) {
-      LearnTimes({service_, terms_, last_choice_, stream_.pace, endpoint.slots, started},
-                 state_.balancer.Times());
+      RecordServiceTimes({service_, terms_, last_choice_, stream_.pace, endpoint.slots, started},
+                         state_.balancer.Times());
     }
     state_.metrics.Observe({"rudderloom_attempt_seconds", "service", service_},
                            std::chrono::duration<double>(Now() - started).count());
-    guard_->Attach(nullptr);
-    guard_->ExpectBefore(std::nullopt);
+    guard_->SetConnection(nullptr);
+    guard_->SetResponseDeadline(std::nullopt);
     co_return result;
   }
 
-  // Only what may run again is taken away from a silent endpoint.
-  std::optional<Duration> FirstSilence() const {
+  // Only repeatable requests are withdrawn from a silent endpoint.
+  std::optional<Duration> AnswerTimeout() const {
     if (!route_->Repeatable() || attempts_ + 1 >= route_->max_attempts) {
       return std::nullopt;
     }
-    return std::chrono::duration_cast<Duration>(route_->goal * kSilenceGoals);
+    return std::chrono::duration_cast<Duration>(route_->goal * kAnswerTimeoutGoals);
   }
 
-  // A silent endpoint is given up only for another one, and the repeat is paid for at once:
-  // otherwise an answer that was about to come would be lost for nothing.
-  bool MayGiveUpEndpoint() {
+  // Abandons a silent endpoint only if another one can take the request and the retry budget allows
+  // it, and takes the retry from the budget at once. Otherwise a pending answer would be lost for
+  // nothing.
+  bool MayAbandonEndpoint() {
     if (attempt_connecting_) {
       return true;
     }
     std::set<std::string> excluded = tried_.Excluded();
     excluded.insert(attempt_instance_);
     constexpr bool kSkipLimited = true;
-    const BalancerAsk ask{service_, terms_, excluded, &state_.limits, kSkipLimited};
+    const BalancerQuery query{service_, terms_, excluded, &state_.limits, kSkipLimited};
     const FleetViewPtr view = state_.views.Current();
-    const auto other = state_.balancer.Choose(*view, ask, Now());
-    if (std::holds_alternative<NoEndpoint>(other)) {
+    const auto other = state_.balancer.Choose(*view, query, Now());
+    if (std::holds_alternative<NoEndpointReason>(other)) {
       return false;
     }
-    prepaid_ = state_.retries.Spend(service_, view->live_nodes, Now());
-    return prepaid_;
+    retry_prepaid_ = state_.retries.Spend(service_, view->live_nodes, Now());
+    return retry_prepaid_;
   }
 
-  // Decides after an attempt; true when another one is to be made.
-  Awaitable<bool> Another(const EndpointRecord& endpoint, const AttemptResult& result) {
+  // Handles the result of an attempt; true if another attempt should be made.
+  Awaitable<bool> HandleResult(const EndpointRecord& endpoint, const AttemptResult& result) {
     if (result.outcome == AttemptOutcome::kAnswered || result.outcome == AttemptOutcome::kFailed) {
-      arrival_.MayHaveRun();
+      checks_.MarkMayHaveRun();
     }
-    NoteForQuarantine(endpoint, result);
+    UpdateCrashWatch(endpoint, result);
     if (result.outcome == AttemptOutcome::kAnswered) {
       LogEnd(endpoint.instance, "answered", result.status);
       co_return false;
     }
     if (state_.log_quota.Allows(Now())) {
-      LogFailedAttempt({terms_.id, arrival_.Digest(), endpoint.instance, result.reason,
-                        result.error, result.status, attempts_ + 1, Between(arrived_, Now())});
+      LogFailedAttempt({terms_.id, checks_.Digest(), endpoint.instance, result.reason, result.error,
+                        result.status, attempts_ + 1, Between(arrived_, Now())});
     }
-    const bool answered = co_await AnsweredInterruption();
+    const bool answered = co_await HandleInterruption();
     if (answered) {
       co_return false;
     }
-    guard_->ForgetSilence();
-    tried_.Add(endpoint.instance, EndOf(result));
+    guard_->ClearSilence();
+    tried_.Add(endpoint.instance, OutcomeOf(result));
     if (result.outcome == AttemptOutcome::kNotConnected) {
       last_refusal_ = ForwardRefusal::kConnect;
-      if (++connect_failures_ < kMostConnectFailures) {
+      if (++connect_failures_ < kMaxConnectFailures) {
         co_return true;
       }
       co_await Refuse(last_refusal_);
@@ -324,20 +333,20 @@
     co_return false;
   }
 
-  // What the attempt says of whether the request ends endpoints that run it.
-  void NoteForQuarantine(const EndpointRecord& endpoint, const AttemptResult& result) {
+  // Updates crash detection with the result of an attempt.
+  void UpdateCrashWatch(const EndpointRecord& endpoint, const AttemptResult& result) {
     if (result.refused) {
-      NoteEnded(state_, endpoint);
+      RecordEndpointEnd(state_, endpoint);
     } else if (result.broken) {
-      NoteBreak(state_, endpoint, arrival_.Digest(), result.sent_at);
+      RecordConnectionBreak(state_, endpoint, checks_.Digest(), result.sent_at);
     } else if (result.outcome == AttemptOutcome::kAnswered) {
-      NoteAnswered(state_, arrival_.Digest());
+      RecordAnswered(state_, checks_.Digest());
     }
   }
 
   bool MayRepeat(bool not_run) {
     const TimePoint now = Now();
-    if (attempts_ >= route_->max_attempts || now + kLeastForAttempt >= time_up_) {
+    if (attempts_ >= route_->max_attempts || now + kMinAttemptTime >= deadline_at_) {
       return false;
     }
     if (may_have_run_ && !route_->Repeatable()) {
@@ -346,13 +355,13 @@
     if (!not_run && stream_.started && !stream_.sequence.Numbered()) {
       return false;
     }
-    // Repeats are for requests that were beside the cause of an endpoint's end. Whoever has met two
-    // ends may come again, but is not sent on unasked.
-    if (arrival_.Suspected(*state_.views.Current())) {
+    // Retries serve requests that were merely in flight when an endpoint crashed. A request that
+    // was present at two crashes may be sent again by its client, but is not retried by this node.
+    if (checks_.Suspected(*state_.views.Current())) {
       state_.metrics.Count({"rudderloom_retries_refused_total", "reason", "suspected"});
       return false;
     }
-    if (std::exchange(prepaid_, false)) {
+    if (std::exchange(retry_prepaid_, false)) {
       return true;
     }
     if (!state_.retries.Spend(service_, state_.views.Current()->live_nodes, now)) {
@@ -362,30 +371,31 @@
     return true;
   }
 
-  // Answers a client whose time is up, and drops one that left; true when there is nothing to do.
-  Awaitable<bool> AnsweredInterruption() {
-    if (guard_->Why() == Interruption::kClientGone) {
+  // Answers the client if the deadline passed, and aborts the exchange if it disconnected; true if
+  // the request is finished.
+  Awaitable<bool> HandleInterruption() {
+    if (guard_->Cause() == Interruption::kClientDisconnected) {
       exchange_.Abort();
       LogEnd("", "client_gone", 0);
       state_.metrics.Count({"rudderloom_requests_total", "result", "client_gone"});
       co_return true;
     }
-    if (guard_->Why() == Interruption::kTimeUp) {
-      co_await Refuse(ForwardRefusal::kTimeUp);
+    if (guard_->Cause() == Interruption::kDeadlineExceeded) {
+      co_await Refuse(ForwardRefusal::kDeadlineExceeded);
       co_return true;
     }
     co_return false;
   }
 
-  // When another try is likely to be served.
-  std::optional<Duration> ComeBack(ForwardRefusal refusal, unsigned status) const {
+  // Delay after which a retry is likely to be served.
+  std::optional<Duration> RetryDelay(ForwardRefusal refusal, unsigned status) const {
     const bool not_run = status == kUnavailable || status == kTooManyRequests;
     if (!not_run) {
       return std::nullopt;
     }
-    const Duration wish =
-        refusal == ForwardRefusal::kOverloaded ? last_choice_.forecast.behind_all : come_back_;
-    return std::clamp(wish, kComeBackSoon, kComeBackMost);
+    const Duration delay =
+        refusal == ForwardRefusal::kOverloaded ? last_choice_.forecast.if_deferred : retry_delay_;
+    return std::clamp(delay, kMinRetryDelay, kMaxRetryDelay);
   }
 
   Awaitable<void> Refuse(ForwardRefusal refusal) {
@@ -393,14 +403,14 @@
     const unsigned status = StatusOf(refusal, may_have_run_);
     LogEnd("", NameOf(refusal), status);
     if (stream_.started) {
-      // The client sees that the answer is cut off.
+      // The client sees that the answer is truncated.
       exchange_.Abort();
       co_return;
     }
     Reply reply;
     reply.status = status;
     reply.body = "{\"error\":\"" + std::string(NameOf(refusal)) + "\"}";
-    reply.headers = state_.dialect.RefusalHeaders(terms_.id, ComeBack(refusal, status));
+    reply.headers = state_.dialect.RefusalHeaders(terms_.id, RetryDelay(refusal, status));
     co_await exchange_.Send(std::move(reply));
   }
 
@@ -410,7 +420,7 @@
     }
     RequestEnd end{terms_, routes_, route_, service_, last_choice_, stream_.pace};
     end.admission = admission_;
-    end.customer = arrival_.Customer();
+    end.customer = checks_.Customer();
     end.endpoint = instance;
     end.outcome = outcome;
     end.status = status;
@@ -423,36 +433,36 @@
   HttpExchange& exchange_;
   const TimePoint arrived_;
   const RequestTerms terms_;
-  Arrival arrival_;
+  RequestChecks checks_;
   RouteTablePtr routes_;
   const Route* route_ = nullptr;
   std::string service_;
-  TimePoint time_up_;
+  TimePoint deadline_at_;
   CallGuard* guard_ = nullptr;
   StreamState stream_;
   TriedEndpoints tried_;
-  Choice last_choice_;  // on which endpoint, and what was known of it
-  Admission admission_ = Admission::kInTurn;
-  Duration come_back_ = kComeBackSoon;
-  Duration waited_{0};  // for an endpoint that holds the model
+  EndpointChoice last_choice_;  // the latest chosen endpoint and what was known about it
+  Admission admission_ = Admission::kAdmitted;
+  Duration retry_delay_ = kMinRetryDelay;
+  Duration waited_{0};  // time spent waiting for an endpoint that holds the model
   // Requests waiting for the same unit when its forecast was first seen. Not updated, so that those
   // that arrive later don't cause a refusal.
   std::optional<std::uint32_t> waiting_ahead_;
   std::uint32_t attempts_ = 0;
   std::uint32_t connect_failures_ = 0;
-  std::uint32_t permits_asked_ = 0;
+  std::uint32_t permit_requests_ = 0;
   bool may_have_run_ = false;
-  std::string attempt_instance_;     // of the attempt under way
-  bool attempt_connecting_ = false;  // it has sent nothing yet
-  bool prepaid_ = false;             // the next repeat is paid for
+  std::string attempt_instance_;     // of the current attempt
+  bool attempt_connecting_ = false;  // the current attempt has sent nothing yet
+  bool retry_prepaid_ = false;       // the next retry is already taken from the budget
   ForwardRefusal last_refusal_ = ForwardRefusal::kNoEndpoint;
 };
 
 }  // namespace
 
 Awaitable<void> Forward(ForwardingState& state, HttpExchange& exchange) {
-  ForwardCall call(state, exchange);
-  co_await call.Run();
+  RequestForwarder forwarder(state, exchange);
+  co_await forwarder.Run();
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/forwarding_test.cpp
+++ b/src/rudderloom/forwarding/forwarding_test.cpp
@@ -13,7 +13,7 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-TEST_CASE("events come whole and in order, however the stream is cut into pieces") {
+TEST_CASE("events are complete and in order for every chunk size") {
   const std::string text = "id: 1\ndata: a\n\ndata: b\nid: 2\n\nid:3\r\ndata: c\r\n\r\n";
   for (std::size_t size = 1; size <= text.size(); ++size) {
     EventFramer framer;
@@ -32,12 +32,12 @@
   }
 }
 
-TEST_CASE("a sequence drops what came before and finds what is missing") {
+TEST_CASE("a sequence drops duplicate events and detects gaps") {
   EventSequence sequence;
   using Verdict = EventSequence::Verdict;
   CHECK(sequence.Take({"", 10}) == Verdict::kPass);
   CHECK(sequence.Take({"", 12}) == Verdict::kPass);
-  CHECK(sequence.Take({"", 12}) == Verdict::kRepeated);
+  CHECK(sequence.Take({"", 12}) == Verdict::kDuplicate);
   CHECK(sequence.Take({"", 16}) == Verdict::kGap);
   CHECK(sequence.Take({"", 14}) == Verdict::kPass);
   CHECK(sequence.Numbered());
@@ -45,25 +45,25 @@
   CHECK_FALSE(sequence.Numbered());
 }
 
-TEST_CASE("repeats of all nodes together stay below the ratio and the extra, in every window") {
+TEST_CASE("retries of all nodes together stay within the ratio and the extra in every window") {
   constexpr int kNodes = 8;
   constexpr double kRatio = 0.2;
   constexpr double kExtra = 54.0;
   std::vector<RetryAllowance> nodes(kNodes, RetryAllowance({kRatio, kExtra, Duration(10'000)}));
-  std::vector<int> repeats;
+  std::vector<int> retries;
   std::vector<int> requests;
   std::mt19937_64 random(7);
   for (int ms = 0; ms < 60'000; ms += 5) {
     const bool busy = ms % 20'000 < 9'000;
     RetryAllowance& node = nodes[random() % kNodes];
     if (busy || random() % 10 == 0) {
-      node.Requested("s", At(ms));
+      node.CountRequest("s", At(ms));
       requests.push_back(ms);
     }
-    // Everything fails: each node would repeat as often as it may.
+    // Every request fails, so each node retries as often as it may.
     for (RetryAllowance& each : nodes) {
       if (each.Spend("s", kNodes, At(ms))) {
-        repeats.push_back(ms);
+        retries.push_back(ms);
       }
     }
   }
@@ -75,9 +75,9 @@
     const double asked =
         std::max({count(requests, from, from + 10'000), count(requests, from - 10'000, from),
                   count(requests, from - 5'000, from + 5'000)});
-    CHECK(count(repeats, from, from + 10'000) <= kRatio * asked + kExtra);
+    CHECK(count(retries, from, from + 10'000) <= kRatio * asked + kExtra);
   }
-  CHECK(repeats.size() > 100);
+  CHECK(retries.size() > 100);
 }
 
 FleetView MakeView(int endpoints) {
@@ -96,7 +96,7 @@
   return view;
 }
 
-RequestTerms Ask(std::uint64_t common, std::uint64_t own) {
+RequestTerms MakeRequest(std::uint64_t common, std::uint64_t own) {
   RequestTerms terms;
   terms.model = "m";
   terms.tokens_in = 9'000;
@@ -105,35 +105,36 @@
   return terms;
 }
 
-TEST_CASE("requests with one beginning go to one endpoint until it is loaded more than others") {
+TEST_CASE(
+    "requests with a common prompt prefix go to one endpoint until it is loaded more than others") {
   const FleetView view = MakeView(4);
   Balancer balancer("z", 1);
   const std::set<std::string> none;
   std::map<std::uint32_t, int> chosen;
   for (std::uint64_t i = 0; i < 40; ++i) {
-    const RequestTerms terms = Ask(77, 1'000 + i);
-    const auto choice = std::get<Choice>(balancer.Choose(view, {"s", terms, none}, At(0)));
+    const RequestTerms terms = MakeRequest(77, 1'000 + i);
+    const auto choice = std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0)));
     const std::string& instance = view.endpoints[choice.index].record.instance;
     ++chosen[choice.index];
-    EndpointLoad added = choice.added;
-    balancer.Started(instance, terms, added, At(0));
-    balancer.Ended(instance, added, AttemptMark::kServed, At(0));
+    EndpointLoad added_load = choice.added_load;
+    balancer.Started(instance, terms, added_load, At(0));
+    balancer.RequestEnded(instance, added_load, EndpointFeedback::kServed, At(0));
   }
   CHECK(chosen.size() == 1);
-  // All at once they are spread.
+  // Concurrent requests are spread over all endpoints.
   chosen.clear();
   for (std::uint64_t i = 0; i < 16; ++i) {
-    const RequestTerms terms = Ask(77, 2'000 + i);
-    const auto choice = std::get<Choice>(balancer.Choose(view, {"s", terms, none}, At(0)));
+    const RequestTerms terms = MakeRequest(77, 2'000 + i);
+    const auto choice = std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0)));
     ++chosen[choice.index];
-    balancer.Started(view.endpoints[choice.index].record.instance, terms, choice.added, At(0));
+    balancer.Started(view.endpoints[choice.index].record.instance, terms, choice.added_load, At(0));
   }
   CHECK(chosen.size() == 4);
 }
 
-// Sixty nodes that all know the same loads send their requests of one moment; gives the most that
-// go to one of the endpoints.
-int MostAtOnce(int endpoints, int requests) {
+// Sends one request from each of `requests` nodes that all know the same loads, and returns the
+// largest number that any endpoint receives.
+int MaxRequestsPerEndpoint(int endpoints, int requests) {
   constexpr int kNodes = 60;
   FleetView view = MakeView(endpoints);
   view.live_nodes = kNodes;
@@ -148,19 +149,20 @@
     for (int i = 0; i < 10; ++i) {
       balancer.Times().Served("s", "m", 50, Duration(600));
     }
-    RequestTerms terms = Ask(7, 8);
+    RequestTerms terms = MakeRequest(7, 8);
     terms.prompt.clear();
-    const auto choice = std::get<Choice>(balancer.Choose(view, {"s", terms, none}, At(10'000)));
+    const auto choice =
+        std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(10'000)));
     most = std::max(most, ++chosen[choice.index]);
   }
   return most;
 }
 
-TEST_CASE("nodes that know the same loads do not all choose the same endpoint") {
-  CHECK(MostAtOnce(4, 18) <= 10);
+TEST_CASE("nodes with identical load information do not all choose the same endpoint") {
+  CHECK(MaxRequestsPerEndpoint(4, 18) <= 10);
 }
 
-TEST_CASE("the forecast counts the places taken, deferred requests apart") {
+TEST_CASE("the forecast counts taken slots and treats deferred requests separately") {
   FleetView view = MakeView(1);
   view.endpoints[0].others = {24, 12, 0};
   Balancer balancer("z", 1);
@@ -168,47 +170,48 @@
     balancer.Times().Served("s", "m", 50, Duration(800));
   }
   const std::set<std::string> none;
-  const RequestTerms terms = Ask(1, 2);
-  const auto choice = std::get<Choice>(balancer.Choose(view, {"s", terms, none}, At(0)));
-  // Eight places: 12 go before it in turn, 24 in all.
-  CHECK(choice.forecast.in_turn == Duration(500));
-  CHECK(choice.forecast.behind_all == Duration(1'700));
-  CHECK(choice.hold == Duration(800));
+  const RequestTerms terms = MakeRequest(1, 2);
+  const auto choice = std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0)));
+  // Eight slots: 12 requests are ahead if admitted, 24 if deferred.
+  CHECK(choice.forecast.if_admitted == Duration(500));
+  CHECK(choice.forecast.if_deferred == Duration(1'700));
+  CHECK(choice.hold_time == Duration(800));
 }
 
 TEST_CASE(
-    "an endpoint that denied a model is left out for it, not for others, until lists are newer") {
+    "an endpoint that denied a model is excluded for that model only, until its entry is renewed") {
   FleetView view = MakeView(1);
   view.endpoints[0].record.models.push_back({"other", 1, {}});
   Balancer balancer("z", 1);
   const std::set<std::string> none;
-  RequestTerms terms = Ask(1, 2);
-  balancer.NotResident("i0", terms, At(0));
-  CHECK(std::get<NoEndpoint>(balancer.Choose(view, {"s", terms, none}, At(1'000))) ==
-        NoEndpoint::kNotResident);
-  CHECK(std::holds_alternative<Choice>(balancer.Choose(view, {"s", terms, none}, At(2'000))));
+  RequestTerms terms = MakeRequest(1, 2);
+  balancer.MarkNotResident("i0", terms, At(0));
+  CHECK(std::get<NoEndpointReason>(balancer.Choose(view, {"s", terms, none}, At(1'000))) ==
+        NoEndpointReason::kNotResident);
+  CHECK(
+      std::holds_alternative<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(2'000))));
   terms.model = "other";
-  CHECK(std::holds_alternative<Choice>(balancer.Choose(view, {"s", terms, none}, At(100))));
+  CHECK(std::holds_alternative<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(100))));
 }
 
-TEST_CASE("only endpoints that hold the adapter are chosen, and failed ones are avoided") {
+TEST_CASE("only endpoints that hold the adapter are chosen, and recently failed ones are avoided") {
   const FleetView view = MakeView(3);
   Balancer balancer("z", 1);
   const std::set<std::string> none;
-  RequestTerms terms = Ask(1, 2);
+  RequestTerms terms = MakeRequest(1, 2);
   terms.adapter = "a1";
-  CHECK(std::get<Choice>(balancer.Choose(view, {"s", terms, none}, At(0))).index == 0);
+  CHECK(std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0))).index == 0);
   terms.adapter = "a2";
-  CHECK(std::get<NoEndpoint>(balancer.Choose(view, {"s", terms, none}, At(0))) ==
-        NoEndpoint::kNotResident);
+  CHECK(std::get<NoEndpointReason>(balancer.Choose(view, {"s", terms, none}, At(0))) ==
+        NoEndpointReason::kNotResident);
   const std::string other = "other";
-  CHECK(std::get<NoEndpoint>(balancer.Choose(view, {other, terms, none}, At(0))) ==
-        NoEndpoint::kNone);
+  CHECK(std::get<NoEndpointReason>(balancer.Choose(view, {other, terms, none}, At(0))) ==
+        NoEndpointReason::kNoEndpoints);
   terms.adapter.clear();
-  balancer.Ended("i0", {}, AttemptMark::kFailed, At(0));
-  balancer.Ended("i1", {}, AttemptMark::kFailed, At(0));
+  balancer.RequestEnded("i0", {}, EndpointFeedback::kFailed, At(0));
+  balancer.RequestEnded("i1", {}, EndpointFeedback::kFailed, At(0));
   for (int i = 0; i < 20; ++i) {
-    CHECK(std::get<Choice>(balancer.Choose(view, {"s", terms, none}, At(100))).index == 2);
+    CHECK(std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(100))).index == 2);
   }
 }
 
--- a/src/rudderloom/forwarding/front.cpp
+++ b/src/rudderloom/forwarding/front.cpp
@@ -2,7 +2,7 @@
 
 #include <set>  // for set
 
-#include "forwarding/crash_check.hpp"      // for NoteCleared
+#include "forwarding/crash_check.hpp"      // for RecordCleared
 #include "forwarding/quarantine_page.hpp"  // for AnswerQuarantinePage
 #include "rudderloom/base/log_line.hpp"    // for LogLine
 #include "rudderloom/base/spread.hpp"      // for SpreadOf
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr Duration kTrimEvery{1'000};
-constexpr Duration kSampleEvery{200};
-constexpr Duration kSamplePause{15};
-// A configuration of 1,700 routes takes a node on a 10 Mbit/s link half a second to read.
-constexpr Duration kConfiguredWithin{1'200};
+constexpr Duration kTrimInterval{1'000};
+constexpr Duration kSampleInterval{200};
+constexpr Duration kMinSampleInterval{15};
+// A node on a 10 Mbit/s link takes half a second to read a configuration of 1,700 routes.
+constexpr Duration kStartupConfigurationWait{1'200};
 
-// What a client is told about a request that could not be read.
+// The answer to a request that could not be read.
 Reply ReadFailureReply(ReadFailure failure) {
   Reply reply;
   switch (failure) {
@@ -51,7 +51,7 @@
   return http;
 }
 
-// Listens on `ip:port` and gives the address taken; port 0 takes one from the kernel.
+// Listens on `ip:port` and returns the bound address; port 0 lets the kernel choose one.
 std::string Listen(HttpServer& server, const std::string& address) {
   const std::size_t colon = address.rfind(':');
   const std::string ip = address.substr(0, colon);
@@ -87,9 +87,9 @@
              LogQuota(settings.log_lines_per_second),
              std::mt19937_64(std::hash<std::string>{}(settings.name)),
              false,
-             Now() + kConfiguredWithin,
+             Now() + kStartupConfigurationWait,
              [this] {
-               sample_soon_ = true;
+               sample_requested_ = true;
                sample_timer_.cancel();
              },
              std::move(ask_holder),
@@ -113,27 +113,27 @@
 }
 
 FleetListeners FleetFront::Start() {
-  FleetListeners taken = settings_.listen;
-  taken.readiness = Listen(*readiness_, settings_.listen.readiness);
-  taken.callers = Listen(*server_, settings_.listen.callers);
+  FleetListeners bound = settings_.listen;
+  bound.readiness = Listen(*readiness_, settings_.listen.readiness);
+  bound.callers = Listen(*server_, settings_.listen.callers);
   if (!settings_.listen.metrics.empty()) {
-    taken.metrics = Listen(*metrics_server_, settings_.listen.metrics);
+    bound.metrics = Listen(*metrics_server_, settings_.listen.metrics);
   }
   asio::co_spawn(context_, TrimLoop(), asio::detached);
   asio::co_spawn(context_, SampleLoop(), asio::detached);
-  return taken;
+  return bound;
 }
 
-// Samples every now and then, and soon after traffic has met what the control state should know.
+// Samples periodically, and early when a request asks for it through `sample_soon`.
 Awaitable<void> FleetFront::SampleLoop() {
   while (true) {
-    if (!sample_soon_) {
-      sample_timer_.expires_after(kSampleEvery);
+    if (!sample_requested_) {
+      sample_timer_.expires_after(kSampleInterval);
       co_await sample_timer_.async_wait(kAsTuple);
     }
-    sample_soon_ = false;
+    sample_requested_ = false;
     Sample();
-    co_await PauseFor(context_, kSamplePause);
+    co_await PauseFor(context_, kMinSampleInterval);
   }
 }
 
@@ -179,7 +179,7 @@
 
 void FleetFront::InterruptRequests() {
   for (CallGuard* guard : state_.guards) {
-    guard->TimeUp();
+    guard->ExpireDeadline();
   }
 }
 
@@ -200,7 +200,7 @@
   if (page) {
     if (page->cleared) {
       LogLine("quarantine_cleared").With("request", TextOf(*page->cleared));
-      NoteCleared(state_, *page->cleared);
+      RecordCleared(state_, *page->cleared);
     }
     co_await exchange.Send(std::move(page->reply));
     co_return;
@@ -213,7 +213,7 @@
 
 Awaitable<void> FleetFront::TrimLoop() {
   while (true) {
-    co_await PauseFor(context_, kTrimEvery);
+    co_await PauseFor(context_, kTrimInterval);
     const FleetViewPtr view = state_.views.Current();
     std::vector<std::string> instances;
     for (const FleetEndpoint& endpoint : view->endpoints) {
--- a/src/rudderloom/forwarding/limit_check.cpp
+++ b/src/rudderloom/forwarding/limit_check.cpp
@@ -13,15 +13,15 @@
   return requests_per_second ? std::to_string(*requests_per_second) : "none";
 }
 
-// Before a node that gave no answer is asked for the same endpoint again.
-constexpr Duration kAskAgain{300};
+// Delay before an endpoint is chosen again after its permit granter gave no answer.
+constexpr Duration kPermitRetryDelay{300};
 
-// The node that hands out permits now; empty when none is known.
-std::string Granter(const FleetView& view, TimePoint now) {
+// The node that currently grants permits; empty if none is known.
+std::string PermitGranter(const FleetView& view, TimePoint now) {
   return now < view.holder_permits_until ? view.quota_holder : view.deputy;
 }
 
-// During a wait the endpoint may have begun to leave.
+// The endpoint may have started to drain during the wait.
 bool StillUsable(const FleetView& view, const std::string& instance) {
   return std::any_of(
       view.endpoints.begin(), view.endpoints.end(),
@@ -30,13 +30,13 @@
 
 }  // namespace
 
-void NoteLimit(ForwardingState& state,
-               const EndpointRecord& endpoint,
-               const AnswerTerms& answer,
-               TimePoint sent_at) {
-  // A refusal that carries no limit says nothing of it.
-  const bool names_none = answer.limit.kind == LimitAnnouncement::Kind::kNone;
-  if (answer.wrong_instance || (names_none && !answer.is_signed)) {
+void RecordLimit(ForwardingState& state,
+                 const EndpointRecord& endpoint,
+                 const AnswerTerms& answer,
+                 TimePoint sent_at) {
+  // A refusal without a limit does not mean that the endpoint has none.
+  const bool announces_none = answer.limit.kind == LimitAnnouncement::Kind::kNone;
+  if (answer.wrong_instance || (announces_none && !answer.is_signed)) {
     return;
   }
   if (answer.limit.kind == LimitAnnouncement::Kind::kUnreadable) {
@@ -55,20 +55,20 @@
       .With("source", "answer");
 }
 
-Awaitable<bool> TakePermit(ForwardingState& state,
-                           CallGuard& guard,
-                           EndpointRecord endpoint,
-                           Duration most_wait) {
+Awaitable<bool> AcquirePermit(ForwardingState& state,
+                              CallGuard& guard,
+                              EndpointRecord endpoint,
+                              Duration max_wait) {
   const EndpointKey key = KeyOf(endpoint.instance);
   const std::optional<double> limit = state.limits.LimitOf(key);
   if (!limit) {
     co_return true;
   }
   const std::uint32_t nodes = state.views.Current()->live_nodes;
-  const std::string granter = Granter(*state.views.Current(), Now());
+  const std::string granter = PermitGranter(*state.views.Current(), Now());
   std::optional<PermitAnswer> answer;
   if (!granter.empty()) {
-    const PermitAsk ask{key, *limit, std::max(Duration(0), most_wait)};
+    const PermitAsk ask{key, *limit, std::max(Duration(0), max_wait)};
     const auto send = [&](auto done) { state.ask_for_permit(granter, ask, std::move(done)); };
     answer = co_await AwaitAnswer<PermitAnswer>(state.context, send);
   }
@@ -78,7 +78,7 @@
       co_return true;
     }
     state.metrics.Count({"rudderloom_permits_total", "result", "unanswered"});
-    state.limits.Refused(key, kAskAgain, nodes, Now());
+    state.limits.Refused(key, kPermitRetryDelay, nodes, Now());
     co_return false;
   }
   state.limits.Asked(key);
@@ -91,7 +91,7 @@
     guard.WaitTimer().expires_after(answer->wait);
     co_await guard.WaitTimer().async_wait(kAsTuple);
   }
-  co_return guard.Why() ==
+  co_return guard.Cause() ==
       Interruption::kNone&& StillUsable(*state.views.Current(), endpoint.instance);
 }
 
--- a/src/rudderloom/forwarding/limit_check.hpp
+++ b/src/rudderloom/forwarding/limit_check.hpp
@@ -1,4 +1,4 @@
-// Requests and the limits that endpoints announce.
+// Enforces the rate limits that endpoints announce.
 #ifndef RUDDERLOOM_FORWARDING_LIMIT_CHECK_HPP
 #define RUDDERLOOM_FORWARDING_LIMIT_CHECK_HPP
 
@@ -7,20 +7,20 @@
 
 namespace rudderloom {
 
-// An endpoint has answered a request that was sent at `sent_at`.
-void NoteLimit(ForwardingState& state,
-               const EndpointRecord& endpoint,
-               const AnswerTerms& answer,
-               TimePoint sent_at);
+// Records the limit announced in an endpoint's answer to a request that was sent at `sent_at`.
+void RecordLimit(ForwardingState& state,
+                 const EndpointRecord& endpoint,
+                 const AnswerTerms& answer,
+                 TimePoint sent_at);
 
-// Asks for a permit where the endpoint has a limit, and waits until the request may be sent. False:
-// it may not, or the wait was interrupted.
-Awaitable<bool> TakePermit(ForwardingState& state,
-                           CallGuard& guard,
-                           EndpointRecord endpoint,
-                           Duration most_wait);
+// Asks for a permit if the endpoint has a limit, and waits until the request may be sent. Returns
+// false if it may not be sent or the wait was interrupted.
+Awaitable<bool> AcquirePermit(ForwardingState& state,
+                              CallGuard& guard,
+                              EndpointRecord endpoint,
+                              Duration max_wait);
 
-// A request is being sent to an endpoint.
+// Counts a request that is sent to an endpoint with a limit.
 void CountLimitedSend(ForwardingState& state, const EndpointRecord& endpoint);
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/missing_units.cpp
+++ b/src/rudderloom/forwarding/missing_units.cpp
@@ -4,21 +4,22 @@
 
 namespace {
 
-// From the first request until the load starts: the node's report to the holder, the plan, and the
-// unloading of another model, which takes about 900 ms where reports are 200 ms old.
-constexpr Duration kUntilLoad{1'000};
-constexpr Duration kAdapterTime{500};
+// Time from the first request until the load starts: the node's report to the lease holder, the
+// plan, and the unloading of another model, which takes about 900 ms when reports are 200 ms old.
+constexpr Duration kLoadStartDelay{1'000};
+constexpr Duration kAdapterLoadTime{500};
 constexpr Duration kForgetAfter{30'000};
-// What has been missing for longer than expected is taken to need this part of that time again.
-constexpr int kOverdueParts = 4;
+// An overdue unit is expected after another fraction of the time it has been missing: one over this
+// number.
+constexpr int kOverdueDivisor = 4;
 
 Duration LoadTimeOf(const UnitName& unit, const ServiceSpec* service) {
   if (!unit.adapter.empty()) {
-    return kAdapterTime;
+    return kAdapterLoadTime;
   }
   const ModelSpec* model =
       service != nullptr && service->engine ? service->engine->Find(unit.model) : nullptr;
-  return model == nullptr ? kForgetAfter : kUntilLoad + model->load_time;
+  return model == nullptr ? kForgetAfter : kLoadStartDelay + model->load_time;
 }
 
 }  // namespace
@@ -35,15 +36,15 @@
 }
 
 TimePoint MissingUnits::Missed(const UnitName& unit, const ServiceSpec* service, TimePoint now) {
-  Missing& missing = since_.try_emplace(unit, Missing{now, now}).first->second;
+  Missing& missing = missing_.try_emplace(unit, Missing{now, now}).first->second;
   missing.last_asked = now;
   const TimePoint expected = missing.since + LoadTimeOf(unit, service);
-  const TimePoint overdue = now + (now - missing.since) / kOverdueParts;
+  const TimePoint overdue = now + (now - missing.since) / kOverdueDivisor;
   return expected > now ? expected : overdue;
 }
 
 void MissingUnits::Trim(TimePoint now) {
-  std::erase_if(since_,
+  std::erase_if(missing_,
                 [&](const auto& entry) { return now - entry.second.last_asked > kForgetAfter; });
 }
 
--- a/src/rudderloom/forwarding/quarantine_page.cpp
+++ b/src/rudderloom/forwarding/quarantine_page.cpp
@@ -9,12 +9,12 @@
 
 namespace {
 
-constexpr std::string_view kPage = "/quarantine";
+constexpr std::string_view kPagePath = "/quarantine";
 constexpr unsigned kAccepted = 202;
 constexpr unsigned kBadRequest = 400;
 constexpr unsigned kNotFound = 404;
 
-json::array Texts(const std::set<RequestDigest>& requests) {
+json::array DigestTexts(const std::set<RequestDigest>& requests) {
   json::array texts;
   for (const RequestDigest& request : requests) {
     texts.emplace_back(TextOf(request));
@@ -22,7 +22,7 @@
   return texts;
 }
 
-QuarantineAnswer Problem(unsigned status, std::string_view error) {
+QuarantineAnswer ErrorAnswer(unsigned status, std::string_view error) {
   QuarantineAnswer answer;
   answer.reply.status = status;
   answer.reply.body = json::serialize(json::object{{"error", error}});
@@ -32,10 +32,10 @@
 QuarantineAnswer Clear(std::string_view text, const QuarantineList& list) {
   const auto digest = RequestDigestFromText(text);
   if (!digest) {
-    return Problem(kBadRequest, "not a request's digest: 32 hexadecimal digits, as listed");
+    return ErrorAnswer(kBadRequest, "not a request's digest: 32 hexadecimal digits, as listed");
   }
   if (!list.quarantined.contains(*digest) && !list.suspects.contains(*digest)) {
-    return Problem(kNotFound, "this node knows of no such request");
+    return ErrorAnswer(kNotFound, "this node knows of no such request");
   }
   QuarantineAnswer answer;
   answer.reply.status = kAccepted;
@@ -50,21 +50,22 @@
                                                      const QuarantineListPtr& list) {
   const auto target = request.target();
   std::string_view path(target.data(), target.size());
-  if (!path.starts_with(kPage)) {
+  if (!path.starts_with(kPagePath)) {
     return std::nullopt;
   }
-  path.remove_prefix(kPage.size());
+  path.remove_prefix(kPagePath.size());
   const QuarantineList known = list ? *list : QuarantineList();
   if (request.method() == http::verb::get && path.empty()) {
     QuarantineAnswer answer;
-    answer.reply.body = json::serialize(json::object{{"quarantined", Texts(known.quarantined)},
-                                                     {"suspects", Texts(known.suspects)}});
+    answer.reply.body =
+        json::serialize(json::object{{"quarantined", DigestTexts(known.quarantined)},
+                                     {"suspects", DigestTexts(known.suspects)}});
     return answer;
   }
   if (request.method() == http::verb::delete_ && path.starts_with('/')) {
     return Clear(path.substr(1), known);
   }
-  return Problem(kNotFound, "GET /quarantine, or DELETE /quarantine/DIGEST");
+  return ErrorAnswer(kNotFound, "GET /quarantine, or DELETE /quarantine/DIGEST");
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/quarantine_page.hpp
+++ b/src/rudderloom/forwarding/quarantine_page.hpp
@@ -1,4 +1,4 @@
-// What operators see of requests that crash endpoints, and how they let one go.
+// Operator page that lists requests that crash endpoints and releases them from quarantine.
 #ifndef RUDDERLOOM_FORWARDING_QUARANTINE_PAGE_HPP
 #define RUDDERLOOM_FORWARDING_QUARANTINE_PAGE_HPP
 
@@ -9,14 +9,14 @@
 
 namespace rudderloom {
 
-// An answer to an operator, and the request that is to be let go, if any.
+// An answer to an operator, and the request to release, if any.
 struct QuarantineAnswer {
   Reply reply;
   std::optional<RequestDigest> cleared;
 };
 
-// GET /quarantine lists what this node knows; DELETE /quarantine/DIGEST lets one go, at all nodes.
-// Nothing when the request is for another page.
+// GET /quarantine lists the requests known to this node; DELETE /quarantine/DIGEST releases one on
+// all nodes. Returns empty if the request is for another page.
 std::optional<QuarantineAnswer> AnswerQuarantinePage(const HttpRequest& request,
                                                      const QuarantineListPtr& list);
 
--- a/src/rudderloom/forwarding/quota_grant.cpp
+++ b/src/rudderloom/forwarding/quota_grant.cpp
@@ -20,42 +20,42 @@
 }
 
 QuotaGrant::~QuotaGrant() {
-  if (taken_ && !ran_) {
-    state_.quota.GiveBack(part_.customer, part_.amount);
+  if (granted_ && !may_have_run_) {
+    state_.quota.GiveBack(spend_.customer, spend_.amount);
   }
 }
 
 QuotaDecision QuotaGrant::Decide(GranterReach reach) {
-  const QuotaDecision decision = state_.quota.Decide(part_.customer, part_.amount, reach, Now());
-  taken_ = decision.verdict == QuotaVerdict::kGranted;
+  const QuotaDecision decision = state_.quota.Decide(spend_.customer, spend_.amount, reach, Now());
+  granted_ = decision.verdict == QuotaVerdict::kGranted;
   return decision;
 }
 
-Awaitable<std::optional<Duration>> QuotaGrant::Take(const Customer& customer,
-                                                    const RequestTerms& terms) {
+Awaitable<std::optional<Duration>> QuotaGrant::Acquire(const Customer& customer,
+                                                       const RequestTerms& terms) {
   if (!customer.quota.Limited()) {
     co_return std::nullopt;
   }
-  part_ = {CustomerKeyOf(customer.name), AmountOf(customer.quota, terms)};
-  state_.quota.Asked(part_.customer, customer.quota, part_.amount, Now());
+  spend_ = {CustomerKeyOf(customer.name), AmountOf(customer.quota, terms)};
+  state_.quota.Asked(spend_.customer, customer.quota, spend_.amount, Now());
   const FleetViewPtr view = state_.views.Current();
-  const bool fresh = state_.quota.WordFresh(Now());
-  const std::string granter = fresh ? view->quota_holder : view->quota_relay;
+  const bool state_fresh = state_.quota.WordFresh(Now());
+  const std::string granter = state_fresh ? view->quota_holder : view->quota_relay;
   const QuotaDecision decision =
       Decide(granter.empty() ? GranterReach::kUnreachable : GranterReach::kReachable);
   if (decision.verdict != QuotaVerdict::kAsk) {
     co_return WaitOf(decision);
   }
   const auto ask = [this, granter](auto done) {
-    state_.ask_holder(granter, part_, std::move(done));
+    state_.ask_holder(granter, spend_, std::move(done));
   };
   const auto answer = co_await AwaitAnswer<SpendAnswer>(state_.context, ask);
   if (answer && answer->verdict == SpendVerdict::kGranted) {
-    taken_ = true;
+    granted_ = true;
     co_return std::nullopt;
   }
   if (answer && answer->verdict == SpendVerdict::kRefused) {
-    state_.quota.RefusedByGranter(part_.customer, answer->wait, Now());
+    state_.quota.RefusedByGranter(spend_.customer, answer->wait, Now());
     co_return answer->wait;
   }
   state_.metrics.Count({"rudderloom_quota_asks_unanswered_total"});
--- a/src/rudderloom/forwarding/quota_grant.hpp
+++ b/src/rudderloom/forwarding/quota_grant.hpp
@@ -1,4 +1,4 @@
-// What one request takes of its customer's limit.
+// The share of a customer's quota that one request uses.
 #ifndef RUDDERLOOM_FORWARDING_QUOTA_GRANT_HPP
 #define RUDDERLOOM_FORWARDING_QUOTA_GRANT_HPP
 
@@ -8,11 +8,11 @@
 
 namespace rudderloom {
 
-// How much a request counts for, in the limit's unit.
+// The amount that a request is charged, in the limit's unit.
 std::uint64_t AmountOf(const QuotaLimit& limit, const RequestTerms& terms);
 
-// Holds a request's part of its customer's limit, and gives it back unless the request has run or
-// may have.
+// Charges a request to its customer's quota, and refunds it on destruction unless the request may
+// have run.
 class QuotaGrant {
  public:
   explicit QuotaGrant(ForwardingState& state) : state_(state) {}
@@ -20,19 +20,20 @@
   QuotaGrant& operator=(const QuotaGrant&) = delete;
   ~QuotaGrant();
 
-  // Nothing when the request is inside the limit; else when the next one is likely to be.
-  Awaitable<std::optional<Duration>> Take(const Customer& customer, const RequestTerms& terms);
+  // Returns empty if the request is within the limit, else how long until the next one is likely to
+  // be.
+  Awaitable<std::optional<Duration>> Acquire(const Customer& customer, const RequestTerms& terms);
 
-  void MayHaveRun() { ran_ = true; }
+  void MarkMayHaveRun() { may_have_run_ = true; }
 
  private:
-  // By this node's own account.
+  // Decides from this node's local quota account.
   QuotaDecision Decide(GranterReach reach);
 
   ForwardingState& state_;
-  SpendAsk part_;
-  bool taken_ = false;
-  bool ran_ = false;
+  SpendAsk spend_;
+  bool granted_ = false;
+  bool may_have_run_ = false;
 };
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/arrival.cpp
+++ b/src/rudderloom/forwarding/request_checks.cpp
@@ -1,4 +1,4 @@
-#include "forwarding/arrival.hpp"
+#include "forwarding/request_checks.hpp"
 
 #include <algorithm>  // for min
 
@@ -6,18 +6,18 @@
 
 namespace rudderloom {
 
-Arrival::Arrival(ForwardingState& state,
-                 HttpExchange& exchange,
-                 const RequestTerms& terms,
-                 TimePoint arrived)
+RequestChecks::RequestChecks(ForwardingState& state,
+                             HttpExchange& exchange,
+                             const RequestTerms& terms,
+                             TimePoint arrived)
     : state_(state),
       exchange_(exchange),
       terms_(terms),
       arrived_(arrived),
       routes_(state.views.Current()->routes),
-      grant_(state) {}
+      quota_grant_(state) {}
 
-Awaitable<std::optional<ForwardRefusal>> Arrival::Check() {
+Awaitable<std::optional<ForwardRefusal>> RequestChecks::Check() {
   co_await AwaitConfiguration();
   if (!routes_) {
     co_return ForwardRefusal::kNoConfiguration;
@@ -38,62 +38,62 @@
   co_return co_await CheckQuota();
 }
 
-Awaitable<std::optional<ForwardRefusal>> Arrival::CheckQuota() {
+Awaitable<std::optional<ForwardRefusal>> RequestChecks::CheckQuota() {
   if (caller_.customer == nullptr || !caller_.customer->quota.Limited()) {
     co_return std::nullopt;
   }
-  co_await AwaitQuotaWord();
-  const auto wait = co_await grant_.Take(*caller_.customer, terms_);
+  co_await AwaitQuotaState();
+  const auto wait = co_await quota_grant_.Acquire(*caller_.customer, terms_);
   if (!wait) {
     co_return std::nullopt;
   }
-  come_back_ = *wait;
+  retry_delay_ = *wait;
   state_.metrics.Count({"rudderloom_over_quota_total", "customer", caller_.customer->name});
   co_return ForwardRefusal::kOverQuota;
 }
 
-// A process that has just started has its configuration in some 100 ms: requests that came to it
-// meanwhile would come back later than that.
-Awaitable<void> Arrival::AwaitConfiguration() {
+// A new process receives its configuration within about 100 ms, so waiting for it is faster than a
+// refusal and a retry.
+Awaitable<void> RequestChecks::AwaitConfiguration() {
   if (!routes_) {
     co_await AwaitView([](const FleetView& view) { return view.routes != nullptr; });
     routes_ = state_.views.Current()->routes;
   }
 }
 
-// Without a word of the holder a node lets a customer spend very little: a request would come back
-// later than the word.
-Awaitable<void> Arrival::AwaitQuotaWord() {
+// Without quota state from the lease holder, a node grants a customer very little. The state
+// arrives sooner than the client would retry.
+Awaitable<void> RequestChecks::AwaitQuotaState() {
   co_await AwaitView([](const FleetView& view) { return view.quota != nullptr; });
 }
 
-// Waits for a view that is as wanted, until the process has run for a while, the client's deadline
-// or leave, or the stop.
-Awaitable<void> Arrival::AwaitView(bool (*wanted)(const FleetView&)) {
+// Waits for a view that satisfies `predicate`. Ends early when the startup period is over, at the
+// client's deadline or disconnect, or at a planned stop.
+Awaitable<void> RequestChecks::AwaitView(bool (*predicate)(const FleetView&)) {
   const TimePoint until =
-      std::min(state_.configured_by, arrived_ + terms_.deadline.value_or(kUsualDeadline));
-  if (wanted(*state_.views.Current()) || Now() >= until) {
+      std::min(state_.configured_by, arrived_ + terms_.deadline.value_or(kDefaultDeadline));
+  if (predicate(*state_.views.Current()) || Now() >= until) {
     co_return;
   }
   CallGuard guard(state_.context, state_.guards, until, [] { return true; });
-  exchange_.WatchPeer([&guard] { guard.ClientGone(); });
-  while (!wanted(*state_.views.Current()) && Now() < until && guard.Why() == Interruption::kNone &&
-         !state_.stopping) {
+  exchange_.WatchPeer([&guard] { guard.ClientDisconnected(); });
+  while (!predicate(*state_.views.Current()) && Now() < until &&
+         guard.Cause() == Interruption::kNone && !state_.stopping) {
     co_await state_.views.WaitForNext(guard.WaitTimer(), until);
   }
   exchange_.StopWatching();
 }
 
-std::string_view Arrival::Customer() const {
+std::string_view RequestChecks::Customer() const {
   return caller_.customer != nullptr ? std::string_view(caller_.customer->name)
                                      : std::string_view();
 }
 
-CallerTerms Arrival::ForEndpoint() const {
+CallerMetadata RequestChecks::EndpointCaller() const {
   return {routes_->NeedsKeys(), std::string(Customer())};
 }
 
-const RequestDigest& Arrival::Digest() {
+const RequestDigest& RequestChecks::Digest() {
   if (!digest_) {
     const HttpRequest& request = exchange_.Request();
     const auto host = request[http::field::host];
@@ -108,17 +108,17 @@
   return *digest_;
 }
 
-bool Arrival::Quarantined(const FleetView& view) {
+bool RequestChecks::Quarantined(const FleetView& view) {
   return view.quarantine && !view.quarantine->quarantined.empty() &&
          view.quarantine->quarantined.contains(Digest());
 }
 
-bool Arrival::Suspected(const FleetView& view) {
+bool RequestChecks::Suspected(const FleetView& view) {
   return view.quarantine && !view.quarantine->suspects.empty() &&
          view.quarantine->suspects.contains(Digest());
 }
 
-bool Arrival::KeyTakenAway(const FleetView& view) const {
+bool RequestChecks::KeyRevoked(const FleetView& view) const {
   return caller_.customer != nullptr && view.routes && view.routes != routes_ &&
          IdentifyCaller(*view.routes, *route_, terms_.key).standing == CallerStanding::kUnknown;
 }
--- a/src/rudderloom/forwarding/request_end.cpp
+++ b/src/rudderloom/forwarding/request_end.cpp
@@ -6,15 +6,15 @@
 
 namespace {
 
-void AddModel(const RequestEnd& end, LogLine& line) {
+void AddModelFields(const RequestEnd& end, LogLine& line) {
   line.With("model", end.terms.model)
       .With("adapter", end.terms.adapter)
       .With("tokens_in", end.terms.tokens_in)
-      .With("holding", end.choice.holding)
+      .With("holding", end.choice.candidate_count)
       .With("load", end.choice.load.requests)
       .With("unread_ahead", end.choice.load.unread_tokens)
       .With("deferred", end.admission == Admission::kDeferred ? "yes" : "no")
-      .With("forecast_ms", end.choice.forecast.in_turn.count())
+      .With("forecast_ms", end.choice.forecast.if_admitted.count())
       .With("waited_ms", end.waited.count());
 }
 
@@ -53,7 +53,7 @@
     line.With("endpoint", end.endpoint).With("attempts", end.attempts);
   }
   if (!end.terms.model.empty()) {
-    AddModel(end, line);
+    AddModelFields(end, line);
   }
   if (end.pace.first_at) {
     line.With("first_ms", Between(arrived, *end.pace.first_at).count())
--- a/src/rudderloom/forwarding/request_end.hpp
+++ b/src/rudderloom/forwarding/request_end.hpp
@@ -1,4 +1,4 @@
-// The log lines that tell how a request, or one attempt of it, ended and what decided it.
+// Log lines for ended requests and failed attempts, with the data behind each decision.
 #ifndef RUDDERLOOM_FORWARDING_REQUEST_END_HPP
 #define RUDDERLOOM_FORWARDING_REQUEST_END_HPP
 
@@ -6,7 +6,7 @@
 #include <string_view>  // for string_view
 
 #include "forwarding/attempt.hpp"                    // for StreamPace
-#include "rudderloom/forwarding/balancer.hpp"        // for Choice
+#include "rudderloom/forwarding/balancer.hpp"        // for EndpointChoice
 #include "rudderloom/forwarding/dialect.hpp"         // for RequestTerms
 #include "rudderloom/quarantine/request_digest.hpp"  // for RequestDigest
 #include "rudderloom/routes/route_table.hpp"         // for Route
@@ -18,23 +18,23 @@
   const RouteTablePtr& routes;  // null before the first configuration
   const Route* route = nullptr;
   const std::string& service;
-  const Choice& choice;  // the last one
+  const EndpointChoice& choice;  // the latest choice
   const StreamPace& pace;
-  Admission admission = Admission::kInTurn;
+  Admission admission = Admission::kAdmitted;
   std::string_view customer = {};  // empty for none
-  std::string_view endpoint = {};  // that answered; empty for none
+  std::string_view endpoint = {};  // the endpoint that answered; empty for none
   std::string_view outcome = {};
   unsigned status = 0;
   std::uint32_t attempts = 0;
-  Duration waited{0};  // for an endpoint that holds the model
+  Duration waited{0};  // time spent waiting for an endpoint that holds the model
 };
 
 struct FailedAttempt {
-  std::string_view request_id;   // of this try of the client
-  const RequestDigest& request;  // the same for all its tries
+  std::string_view request_id;   // of this attempt of the client
+  const RequestDigest& request;  // equal for all attempts of the client
   std::string_view endpoint;
   std::string_view reason;
-  std::string_view error;  // the network's; empty for none
+  std::string_view error;  // network error message; empty for none
   unsigned status = 0;     // of the endpoint's answer; 0 for none
   std::uint32_t attempt = 0;
   Duration since_arrival{0};
--- a/src/rudderloom/forwarding/request_samples.cpp
+++ b/src/rudderloom/forwarding/request_samples.cpp
@@ -7,11 +7,11 @@
 
 namespace {
 
-// As long as nothing is known of a model's answers.
-constexpr Duration kAssumedHold{1'000};
-// A sample of how long a prompt takes to read comes from an endpoint with at most this part of its
-// places taken: on a fuller one the prompts of others are read in between.
-constexpr std::uint32_t kQuietPart = 2;
+// Used until answers of the model have been observed.
+constexpr Duration kAssumedHoldTime{1'000};
+// Prompt times are sampled only if at most 1/kQuietDivisor of the endpoint's slots are taken: on a
+// busier endpoint other prompts are processed in between.
+constexpr std::uint32_t kQuietDivisor = 2;
 
 }  // namespace
 
@@ -20,7 +20,7 @@
                      const RequestTerms& terms) {
   const Duration known = times.HoldTime(service, terms.model, terms.tokens_out) +
                          times.TypicalFirstEventTime(service, terms.model);
-  return known > Duration(0) ? known : kAssumedHold;
+  return known > Duration(0) ? known : kAssumedHoldTime;
 }
 
 Duration BacklogTime(const ServiceTimes& times,
@@ -34,26 +34,26 @@
       tokens_per_millisecond > 0.0
           ? static_cast<Duration::rep>(unread_tokens / tokens_per_millisecond)
           : 0);
-  const Duration hold = times.HoldTime(service, terms.model, terms.tokens_out);
-  return std::max(prompt_time, WaitForPlace(ahead, slots, hold));
+  const Duration hold_time = times.HoldTime(service, terms.model, terms.tokens_out);
+  return std::max(prompt_time, EstimateSlotWait(ahead, slots, hold_time));
 }
 
-CountedRequest::CountedRequest(std::map<UnitName, UnitCount>& counts,
-                               std::vector<UnitName> units,
-                               std::uint32_t UnitCount::*as)
-    : counts_(counts), units_(std::move(units)), as_(as) {
+ScopedUnitCount::ScopedUnitCount(std::map<UnitName, UnitCount>& counts,
+                                 std::vector<UnitName> units,
+                                 std::uint32_t UnitCount::*as)
+    : counts_(counts), units_(std::move(units)), counter_(as) {
   for (const UnitName& unit : units_) {
-    ++(counts_[unit].*as_);
+    ++(counts_[unit].*counter_);
   }
 }
 
-CountedRequest::~CountedRequest() {
+ScopedUnitCount::~ScopedUnitCount() {
   for (const UnitName& unit : units_) {
-    --(counts_[unit].*as_);
+    --(counts_[unit].*counter_);
   }
 }
 
-void LearnTimes(const WholeStream& stream, ServiceTimes& times) {
+void RecordServiceTimes(const CompletedStream& stream, ServiceTimes& times) {
   const StreamPace& pace = stream.pace;
   if (!pace.first_at) {
     return;
@@ -62,9 +62,9 @@
   times.Served(stream.service, terms.model, terms.tokens_out,
                Between(*pace.first_at, pace.last_at));
   const EndpointLoad& before = stream.choice.load;
-  if (before.requests * kQuietPart <= stream.slots && before.unread_tokens == 0) {
-    times.Began(stream.service, terms.model, stream.choice.added.unread_tokens,
-                Between(stream.sent_at, *pace.first_at));
+  if (before.requests * kQuietDivisor <= stream.slots && before.unread_tokens == 0) {
+    times.RecordFirstEvent(stream.service, terms.model, stream.choice.added_load.unread_tokens,
+                           Between(stream.sent_at, *pace.first_at));
   }
 }
 
--- a/src/rudderloom/forwarding/retry_allowance.cpp
+++ b/src/rudderloom/forwarding/retry_allowance.cpp
@@ -6,38 +6,39 @@
 
 namespace {
 
-// Nodes that started or died lately may not be counted yet, and clocks of windows differ.
-constexpr double kUsedPart = 0.7;
-constexpr std::uint32_t kUnheardNodes = 1;
+// Margin for nodes that started or failed recently and are not counted yet, and for windows that
+// are not aligned between nodes.
+constexpr double kUsableShare = 0.7;
+constexpr std::uint32_t kUnknownNodes = 1;
 
 }  // namespace
 
-void RetryAllowance::Requested(const std::string& service, TimePoint now) {
-  Account& account = accounts_[service];
-  Forget(account, now);
-  account.requests.push_back(now);
+void RetryAllowance::CountRequest(const std::string& service, TimePoint now) {
+  ServiceHistory& history = histories_[service];
+  DropExpired(history, now);
+  history.requests.push_back(now);
 }
 
 bool RetryAllowance::Spend(const std::string& service, std::uint32_t nodes, TimePoint now) {
-  Account& account = accounts_[service];
-  Forget(account, now);
-  const double shared_by = std::max<std::uint32_t>(1, nodes) + kUnheardNodes;
-  const double earned = bounds_.ratio * static_cast<double>(account.requests.size());
-  const double allowed = kUsedPart * (earned + bounds_.extra / shared_by);
-  if (static_cast<double>(account.repeats.size()) + 1.0 > allowed) {
+  ServiceHistory& history = histories_[service];
+  DropExpired(history, now);
+  const double sharing_nodes = std::max<std::uint32_t>(1, nodes) + kUnknownNodes;
+  const double earned = bounds_.ratio * static_cast<double>(history.requests.size());
+  const double allowed = kUsableShare * (earned + bounds_.extra / sharing_nodes);
+  if (static_cast<double>(history.retries.size()) + 1.0 > allowed) {
     return false;
   }
-  account.repeats.push_back(now);
+  history.retries.push_back(now);
   return true;
 }
 
-void RetryAllowance::Forget(Account& account, TimePoint now) const {
+void RetryAllowance::DropExpired(ServiceHistory& history, TimePoint now) const {
   const TimePoint oldest = now - bounds_.window;
-  while (!account.requests.empty() && account.requests.front() < oldest) {
-    account.requests.pop_front();
+  while (!history.requests.empty() && history.requests.front() < oldest) {
+    history.requests.pop_front();
   }
-  while (!account.repeats.empty() && account.repeats.front() < oldest) {
-    account.repeats.pop_front();
+  while (!history.retries.empty() && history.retries.front() < oldest) {
+    history.retries.pop_front();
   }
 }
 
--- a/src/rudderloom/forwarding/tried_endpoints.cpp
+++ b/src/rudderloom/forwarding/tried_endpoints.cpp
@@ -4,33 +4,33 @@
 
 namespace rudderloom {
 
-void TriedEndpoints::Add(const std::string& instance, End end) {
+void TriedEndpoints::Add(const std::string& instance, Outcome outcome) {
   excluded_.insert(instance);
-  ends_[instance] = end;
+  outcomes_[instance] = outcome;
 }
 
 bool TriedEndpoints::AnyUnreachable() const {
-  return std::any_of(ends_.begin(), ends_.end(), [&](const auto& entry) {
-    return entry.second == End::kUnreachable && excluded_.contains(entry.first);
+  return std::any_of(outcomes_.begin(), outcomes_.end(), [&](const auto& entry) {
+    return entry.second == Outcome::kUnreachable && excluded_.contains(entry.first);
   });
 }
 
-bool TriedEndpoints::Take(End end) {
+bool TriedEndpoints::Readmit(Outcome outcome) {
   bool any = false;
-  for (const auto& [instance, how] : ends_) {
-    if (how == end) {
+  for (const auto& [instance, recorded] : outcomes_) {
+    if (recorded == outcome) {
       any = excluded_.erase(instance) > 0 || any;
     }
   }
   return any;
 }
 
-TriedEndpoints::End EndOf(const AttemptResult& result) {
+TriedEndpoints::Outcome OutcomeOf(const AttemptResult& result) {
   if (result.outcome == AttemptOutcome::kNotConnected) {
-    return TriedEndpoints::End::kUnreachable;
+    return TriedEndpoints::Outcome::kUnreachable;
   }
   const bool can_serve = result.outcome == AttemptOutcome::kFailed && !result.silent;
-  return can_serve ? TriedEndpoints::End::kFailed : TriedEndpoints::End::kRefused;
+  return can_serve ? TriedEndpoints::Outcome::kFailed : TriedEndpoints::Outcome::kRefused;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/tried_endpoints.hpp
+++ b/src/rudderloom/forwarding/tried_endpoints.hpp
@@ -1,4 +1,4 @@
-// Endpoints that one request has been sent to, and whether it may go there again.
+// Endpoints that a request has been sent to, and whether it may be sent there again.
 #ifndef RUDDERLOOM_FORWARDING_TRIED_ENDPOINTS_HPP
 #define RUDDERLOOM_FORWARDING_TRIED_ENDPOINTS_HPP
 
@@ -10,37 +10,37 @@
 
 namespace rudderloom {
 
-// Every other endpoint comes first. Often a single endpoint holds a model, though, and a request
-// that may be repeated is better sent there again than refused.
+// Untried endpoints are preferred. Often a single endpoint holds a model, though, and sending a
+// repeatable request there again is better than refusing it.
 class TriedEndpoints {
  public:
-  enum class End {
-    kRefused,      // promised not to have run it, or stayed silent: of no use again
-    kFailed,       // broke the connection or answered with an error: the next try may do better
-    kUnreachable,  // no connection came up: worth another try after a while
+  enum class Outcome {
+    kRefused,      // guaranteed not to have run it, or was silent: not tried again
+    kFailed,       // broke the connection or returned an error: the next attempt may succeed
+    kUnreachable,  // could not be connected: may be tried again later
   };
 
-  void Add(const std::string& instance, End end);
+  void Add(const std::string& instance, Outcome outcome);
 
-  // Endpoints that the next choice leaves out.
+  // Endpoints that the next choice excludes.
   const std::set<std::string>& Excluded() const { return excluded_; }
 
-  // An endpoint of those left out could not be reached.
+  // True if an excluded endpoint could not be reached.
   bool AnyUnreachable() const;
 
-  // Makes those that failed, or were unreachable, available again; true when there were any.
-  bool TakeFailed() { return Take(End::kFailed); }
-  bool TakeUnreachable() { return Take(End::kUnreachable); }
+  // Make failed or unreachable endpoints available again; true if there were any.
+  bool ReadmitFailed() { return Readmit(Outcome::kFailed); }
+  bool ReadmitUnreachable() { return Readmit(Outcome::kUnreachable); }
 
  private:
-  bool Take(End end);
+  bool Readmit(Outcome outcome);
 
   std::set<std::string> excluded_;
-  std::map<std::string, End> ends_;
+  std::map<std::string, Outcome> outcomes_;
 };
 
-// What an attempt that gave the client no answer says of its endpoint.
-TriedEndpoints::End EndOf(const AttemptResult& result);
+// Classifies an attempt that gave the client no answer.
+TriedEndpoints::Outcome OutcomeOf(const AttemptResult& result);
 
 }  // namespace rudderloom
 
