--- a/include/rudderloom/admission/admission_queue.hpp
+++ b/include/rudderloom/admission/admission_queue.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// Which waiting request starts next, and which is refused at once. Pure; time is passed in.
+/// Queue of waiting requests: decides which one starts next and which ones are refused at once. The
+/// time is passed in.
 #ifndef RUDDERLOOM_ADMISSION_ADMISSION_QUEUE_HPP
 #define RUDDERLOOM_ADMISSION_ADMISSION_QUEUE_HPP
 
@@ -19,74 +20,76 @@
 /// @ingroup admission
 using Ticket = std::uint64_t;
 
-/// @brief A request that asks to be let in.
+/// @brief A request to be queued for admission.
 /// @ingroup admission
 struct Applicant {
   Ticket ticket = 0;
-  std::string target;         ///< Name of the model, adapter or service.
-  std::string caller;         ///< Whose fair share it counts on.
-  std::int64_t priority = 5;  ///< 0 goes first.
-  TimePoint deadline;         ///< When it must have started.
+  std::string target;         ///< Name of the requested model, adapter or service.
+  std::string caller;         ///< Caller whose fair share the request is charged to.
+  std::int64_t priority = 5;  ///< 0 is the highest priority.
+  TimePoint deadline;         ///< Time by which the request must have started.
 };
 
-/// @brief Why a request is not let in.
+/// @brief Why a request is not admitted.
 /// @ingroup admission
 struct AdmissionRefusal {
   enum class Reason {
     kQueueFull,
-    kDeadlineUnreachable,  ///< It would wait longer than its deadline allows.
-    kDeadlinePassed,       ///< It waited, and its time is up.
+    kDeadlineUnreachable,  ///< The expected wait exceeds the deadline.
+    kDeadlinePassed,       ///< The deadline passed, before or while the request waited.
   };
   Reason reason = Reason::kQueueFull;
-  Duration come_back{1'000};  ///< When asking again makes sense.
+  Duration come_back{1'000};  ///< Delay after which the client should retry.
 };
 
-/// @brief Waiting requests: strict priorities, and among equals fair shares between callers.
+/// @brief Queue with strict priorities, and fair sharing between callers of the same priority.
 /// @ingroup admission
 class AdmissionQueue {
  public:
   explicit AdmissionQueue(std::size_t capacity) : capacity_(capacity) {}
 
-  /// @brief Takes a request in to wait, or refuses it now. `room` is how many requests of its
-  /// target this node may run at once.
+  /// @brief Enqueues a request or refuses it. `slots` is the number of requests for its target that
+  /// this node may run at once.
   std::optional<AdmissionRefusal> Enter(const Applicant& applicant,
-                                        std::uint32_t room,
+                                        std::uint32_t slots,
                                         TimePoint now);
 
-  /// @brief The next request that can start, taken out; empty when none can.
-  /// @param can_start Asked in order; the first request that it accepts is the one given back.
+  /// @brief Removes and returns the next request that can start; empty if none can.
+  /// @param can_start Called for waiting requests in order; the first accepted request is returned.
   std::optional<Applicant> Next(const std::function<bool(const Applicant&)>& can_start);
 
-  /// @brief Takes out a request that no longer waits; true when it was there.
+  /// @brief Removes a waiting request; true if it was queued.
   bool Remove(Ticket ticket);
 
-  /// @brief Takes out all whose deadline passed.
+  /// @brief Removes and returns all requests whose deadline has passed.
   std::vector<Applicant> Expire(TimePoint now);
 
-  /// @brief Learns how long a request of this target occupied its place.
-  void Served(const std::string& target, Duration length);
+  /// @brief Records how long a request for the target occupied its slot.
+  void Served(const std::string& target, Duration service_time);
 
-  /// @brief Expected wait of a request that came now.
-  Duration ExpectedWait(const std::string& target, std::int64_t priority, std::uint32_t room) const;
+  /// @brief Expected wait of a request that arrives now.
+  Duration ExpectedWait(const std::string& target,
+                        std::int64_t priority,
+                        std::uint32_t slots) const;
 
-  /// @brief Requests waiting, over all targets or for one.
+  /// @brief Number of waiting requests, over all targets or for one.
   std::size_t Size() const { return size_; }
   std::size_t Waiting(const std::string& target) const;
 
  private:
-  struct Line {  // the waiting requests of one caller at one priority
+  struct CallerQueue {  // the waiting requests of one caller at one priority
     std::deque<Applicant> waiting;
-    double served = 0.0;  // virtual time: grows with each start
+    double virtual_time = 0.0;  // grows with each started request
   };
-  using Lines = std::map<std::string, Line>;
+  using CallerQueues = std::map<std::string, CallerQueue>;
 
-  Duration LengthOf(const std::string& target) const;
+  Duration ServiceTimeOf(const std::string& target) const;
 
   std::size_t capacity_;
   std::size_t size_ = 0;
-  std::map<std::int64_t, Lines> priorities_;
+  std::map<std::int64_t, CallerQueues> priorities_;
   std::map<std::string, std::map<std::int64_t, std::size_t>> waiting_;  // by target and priority
-  std::map<std::string, double> lengths_ms_;
+  std::map<std::string, double> service_times_ms_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/attempts/event_relay.hpp
+++ b/include/rudderloom/attempts/event_relay.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Passes a stream of server-sent events on, whole events only, over one or more attempts.
+/// Forwards the complete events of a stream of server-sent events, over one or more attempts.
 #ifndef RUDDERLOOM_ATTEMPTS_EVENT_RELAY_HPP
 #define RUDDERLOOM_ATTEMPTS_EVENT_RELAY_HPP
 
@@ -9,32 +9,33 @@
 
 namespace rudderloom {
 
-/// @brief Joins the attempts at one streamed answer: nothing doubled, nothing lost.
-/// Engines number their events by the `id` field; a later attempt asks for what follows the last
-/// one with `Last-Event-ID`. Events that come again are dropped, and a gap is an error.
+/// @brief Joins the attempts at one streamed answer without duplicate or missing events. Engines
+/// number their events in the `id` field. A later attempt requests the events after the last one
+/// with `Last-Event-ID`. Repeated events are dropped, and a gap is an error.
 /// @ingroup attempts
 class EventRelay {
  public:
-  /// @brief What became of a piece.
-  enum class Verdict { kFine, kGap };
+  /// @brief Result of processing a chunk.
+  enum class Verdict { kOk, kGap };
 
-  /// @brief Takes a piece of the present attempt's body; whole events are appended to `out`.
-  Verdict Feed(std::string_view piece, std::string& out);
+  /// @brief Processes a body chunk of the current attempt and appends complete events to `out`.
+  Verdict Feed(std::string_view chunk, std::string& out);
 
-  /// @brief Starts the next attempt: a half event of the former one is dropped.
+  /// @brief Starts the next attempt and drops an incomplete event of the previous one.
   void NextAttempt() { partial_.clear(); }
 
-  /// @brief Number of the last event passed on; -1 before the first.
+  /// @brief Id of the last forwarded event; -1 before the first.
   std::int64_t LastId() const { return last_id_; }
 
-  /// @brief True once the end mark was passed on.
+  /// @brief True once the end-of-stream event was forwarded.
   bool Done() const { return done_; }
 
-  /// @brief True while every event passed on had a number, so that another attempt can go on.
+  /// @brief True while every forwarded event had an id, so that another attempt can resume the
+  /// stream.
   bool Resumable() const { return unnumbered_ == 0; }
 
  private:
-  Verdict Event(std::string_view event, std::string& out);
+  Verdict AppendEvent(std::string_view event, std::string& out);
 
   std::string partial_;
   std::int64_t last_id_ = -1;
--- a/include/rudderloom/attempts/retry_policy.hpp
+++ b/include/rudderloom/attempts/retry_policy.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a failed attempt is followed by another, as a pure decision.
+/// Decides whether a failed attempt is retried.
 #ifndef RUDDERLOOM_ATTEMPTS_RETRY_POLICY_HPP
 #define RUDDERLOOM_ATTEMPTS_RETRY_POLICY_HPP
 
@@ -15,41 +15,41 @@
 /// @brief How one attempt on an endpoint failed.
 /// @ingroup attempts
 enum class AttemptFailure {
-  kConnect,      ///< No connection: no byte left.
-  kNotResident,  ///< The endpoint said that it does not hold the unit.
-  kBusy,         ///< The endpoint said that it is full.
-  kLeaving,      ///< The endpoint said that it takes no new work.
-  kCutEarly,     ///< The connection broke after the request was sent, before any of the answer.
-  kCutMidway,    ///< It broke within the answer.
-  kTimeout,      ///< No answer in time.
-  kServerError,  ///< A 5xx that says nothing of whether it ran.
+  kConnect,      ///< The connection failed; nothing was sent.
+  kNotResident,  ///< The endpoint reported that it does not hold the model or adapter.
+  kBusy,         ///< The endpoint reported that it is full.
+  kLeaving,      ///< The endpoint is draining and accepts no new requests.
+  kCutEarly,   ///< The connection broke after the request was sent, before any part of the answer.
+  kCutMidway,  ///< The connection broke within the answer.
+  kTimeout,    ///< No answer in time.
+  kServerError,  ///< A 5xx status that doesn't tell whether the request ran.
 };
 
-/// @brief Name of a failure, as counters and logs show it.
+/// @brief Returns the name of a failure for metrics and logs.
 /// @ingroup attempts
 std::string_view NameOf(AttemptFailure failure);
 
-/// @brief True when the failure proves that the request did not run.
+/// @brief True if the failure proves that the request did not run.
 /// @ingroup attempts
 bool ProvesNotRun(AttemptFailure failure);
 
-/// @brief What is known of a request when one of its attempts failed.
+/// @brief State of a request after a failed attempt.
 /// @ingroup attempts
 struct AttemptState {
-  std::int64_t attempts = 1;    ///< Made so far.
-  bool repeatable = true;       ///< Running it twice does no harm.
-  bool may_have_run = false;    ///< Some earlier attempt may have.
-  bool retried_before = false;  ///< The caller says that it is itself a retry.
+  std::int64_t attempts = 1;    ///< Attempts made so far.
+  bool repeatable = true;       ///< The request may safely run more than once.
+  bool may_have_run = false;    ///< An earlier attempt may have run the request.
+  bool retried_before = false;  ///< The caller marked the request as a retry.
   TimePoint deadline;
 };
 
-/// @brief Try again after a pause.
+/// @brief Decision to retry after a pause.
 /// @ingroup attempts
 struct RetryAfter {
   Duration pause{0};
 };
 
-/// @brief Give up, and say so at once.
+/// @brief Decision to stop retrying and fail the request.
 /// @ingroup attempts
 struct GiveUp {
   enum class Reason { kNotRepeatable, kAttempts, kBudget, kDeadline };
@@ -57,21 +57,21 @@
   bool may_have_run = false;
 };
 
-/// @brief Retries of one process, as a share of its first attempts.
+/// @brief Bounds the retries of one process to a share of its first attempts.
 /// @ingroup attempts
 class RetryPolicy {
  public:
   RetryPolicy(RetrySettings settings, std::uint64_t seed);
 
-  /// @brief Counts a first attempt, which earns a share of a retry.
+  /// @brief Counts a first attempt, which adds a fraction of a retry to the budget.
   void FirstAttempt();
 
-  /// @brief Decides about one failed attempt; a retry is paid for at once.
+  /// @brief Decides whether to retry a failed attempt. A retry is taken from the budget at once.
   std::variant<RetryAfter, GiveUp> Decide(AttemptFailure failure,
                                           const AttemptState& state,
                                           TimePoint now);
 
-  /// @brief Retries that are paid for now.
+  /// @brief Number of retries that the budget allows now.
   double Budget() const { return budget_; }
 
  private:
--- a/src/rudderloom/admission/admission_queue.cpp
+++ b/src/rudderloom/admission/admission_queue.cpp
@@ -7,18 +7,18 @@
 
 namespace {
 constexpr double kSmoothing = 0.1;
-constexpr Duration kLeastComeBack{1'000};
+constexpr Duration kMinRetryDelay{1'000};
 }  // namespace
 
-Duration AdmissionQueue::LengthOf(const std::string& target) const {
-  const auto found = lengths_ms_.find(target);
-  // A target never served yet gives no ground to refuse anybody.
-  return Duration(found == lengths_ms_.end() ? 0 : static_cast<Duration::rep>(found->second));
+Duration AdmissionQueue::ServiceTimeOf(const std::string& target) const {
+  const auto found = service_times_ms_.find(target);
+  // Without service times for the target, no request is refused for its expected wait.
+  return Duration(found == service_times_ms_.end() ? 0 : static_cast<Duration::rep>(found->second));
 }
 
 Duration AdmissionQueue::ExpectedWait(const std::string& target,
                                       std::int64_t priority,
-                                      std::uint32_t room) const {
+                                      std::uint32_t slots) const {
   std::size_t ahead = 0;
   const auto found = waiting_.find(target);
   if (found != waiting_.end()) {
@@ -26,37 +26,40 @@
       ahead += other <= priority ? count : 0;
     }
   }
-  const auto places = static_cast<Duration::rep>(std::max(1U, room));
-  return LengthOf(target) * static_cast<Duration::rep>(ahead + 1) / places;
+  const auto places = static_cast<Duration::rep>(std::max(1U, slots));
+  return ServiceTimeOf(target) * static_cast<Duration::rep>(ahead + 1) / places;
 }
 
 std::optional<AdmissionRefusal> AdmissionQueue::Enter(const Applicant& applicant,
-                                                      std::uint32_t room,
+                                                      std::uint32_t slots,
                                                       TimePoint now) {
   using Reason = AdmissionRefusal::Reason;
-  const Duration wait = ExpectedWait(applicant.target, applicant.priority, room);
-  const Duration come_back = std::max(kLeastComeBack, wait);
+  const Duration wait = ExpectedWait(applicant.target, applicant.priority, slots);
+  const Duration come_back = std::max(kMinRetryDelay, wait);
   if (now >= applicant.deadline) {
     return AdmissionRefusal{Reason::kDeadlinePassed, come_back};
   }
-  // A target that no endpoint serves at this moment is being loaded: there is no telling the wait.
-  if (room > 0 && now + wait > applicant.deadline) {
+  // A target without slots is being loaded, so its wait can't be estimated.
+  if (slots > 0 && now + wait > applicant.deadline) {
     return AdmissionRefusal{Reason::kDeadlineUnreachable, come_back};
   }
   if (size_ >= capacity_) {
     return AdmissionRefusal{Reason::kQueueFull, come_back};
   }
-  Lines& lines = priorities_[applicant.priority];
-  Line& line = lines[applicant.caller];
-  if (line.waiting.empty()) {
-    // A caller that was away gets no credit for it.
+  CallerQueues& caller_queues = priorities_[applicant.priority];
+  CallerQueue& caller_queue = caller_queues[applicant.caller];
+  if (caller_queue.waiting.empty()) {
+    // An idle caller accumulates no credit: it resumes at the least virtual time of the active
+    // callers.
     double least = std::numeric_limits<double>::max();
-    for (const auto& [caller, other] : lines) {
-      least = other.waiting.empty() ? least : std::min(least, other.served);
+    for (const auto& [caller, other] : caller_queues) {
+      least = other.waiting.empty() ? least : std::min(least, other.virtual_time);
     }
-    line.served = least == std::numeric_limits<double>::max() ? 0.0 : std::max(line.served, least);
+    caller_queue.virtual_time = least == std::numeric_limits<double>::max()
+                                    ? 0.0
+                                    : std::max(caller_queue.virtual_time, least);
   }
-  line.waiting.push_back(applicant);
+  caller_queue.waiting.push_back(applicant);
   ++waiting_[applicant.target][applicant.priority];
   ++size_;
   return std::nullopt;
@@ -64,20 +67,22 @@
 
 std::optional<Applicant> AdmissionQueue::Next(
     const std::function<bool(const Applicant&)>& can_start) {
-  for (auto& [priority, lines] : priorities_) {
-    std::vector<Line*> order;
-    for (auto& [caller, line] : lines) {
-      order.push_back(&line);
+  for (auto& [priority, caller_queues] : priorities_) {
+    std::vector<CallerQueue*> order;
+    for (auto& [caller, caller_queue] : caller_queues) {
+      order.push_back(&caller_queue);
     }
-    std::stable_sort(order.begin(), order.end(),
-                     [](const Line* a, const Line* b) { return a->served < b->served; });
-    for (Line* line : order) {
-      const auto first = std::find_if(line->waiting.begin(), line->waiting.end(), can_start);
-      if (first == line->waiting.end()) {
+    std::stable_sort(order.begin(), order.end(), [](const CallerQueue* a, const CallerQueue* b) {
+      return a->virtual_time < b->virtual_time;
+    });
+    for (CallerQueue* caller_queue : order) {
+      const auto first =
+          std::find_if(caller_queue->waiting.begin(), caller_queue->waiting.end(), can_start);
+      if (first == caller_queue->waiting.end()) {
         continue;
       }
       Applicant next = *first;
-      line->served += 1.0;
+      caller_queue->virtual_time += 1.0;
       Remove(next.ticket);
       return next;
     }
@@ -86,17 +91,17 @@
 }
 
 bool AdmissionQueue::Remove(Ticket ticket) {
-  for (auto& [priority, lines] : priorities_) {
-    for (auto& [caller, line] : lines) {
+  for (auto& [priority, caller_queues] : priorities_) {
+    for (auto& [caller, caller_queue] : caller_queues) {
       const auto found =
-          std::find_if(line.waiting.begin(), line.waiting.end(),
+          std::find_if(caller_queue.waiting.begin(), caller_queue.waiting.end(),
                        [&](const Applicant& waiting) { return waiting.ticket == ticket; });
-      if (found == line.waiting.end()) {
+      if (found == caller_queue.waiting.end()) {
         continue;
       }
       --waiting_[found->target][found->priority];
       --size_;
-      line.waiting.erase(found);
+      caller_queue.waiting.erase(found);
       return true;
     }
   }
@@ -105,9 +110,9 @@
 
 std::vector<Applicant> AdmissionQueue::Expire(TimePoint now) {
   std::vector<Applicant> expired;
-  for (const auto& [priority, lines] : priorities_) {
-    for (const auto& [caller, line] : lines) {
-      for (const Applicant& waiting : line.waiting) {
+  for (const auto& [priority, caller_queues] : priorities_) {
+    for (const auto& [caller, caller_queue] : caller_queues) {
+      for (const Applicant& waiting : caller_queue.waiting) {
         if (now >= waiting.deadline) {
           expired.push_back(waiting);
         }
@@ -117,16 +122,16 @@
   for (const Applicant& applicant : expired) {
     Remove(applicant.ticket);
   }
-  for (auto& [priority, lines] : priorities_) {
-    // Callers that have nothing waiting are forgotten, so that their number doesn't grow.
-    std::erase_if(lines, [](const auto& entry) { return entry.second.waiting.empty(); });
+  for (auto& [priority, caller_queues] : priorities_) {
+    // Callers without waiting requests are dropped, so that their number stays bounded.
+    std::erase_if(caller_queues, [](const auto& entry) { return entry.second.waiting.empty(); });
   }
   return expired;
 }
 
-void AdmissionQueue::Served(const std::string& target, Duration length) {
-  const auto sample = static_cast<double>(length.count());
-  const auto [found, is_new] = lengths_ms_.try_emplace(target, sample);
+void AdmissionQueue::Served(const std::string& target, Duration service_time) {
+  const auto sample = static_cast<double>(service_time.count());
+  const auto [found, is_new] = service_times_ms_.try_emplace(target, sample);
   if (!is_new) {
     found->second += kSmoothing * (sample - found->second);
   }
--- a/src/rudderloom/attempts/attempts_test.cpp
+++ b/src/rudderloom/attempts/attempts_test.cpp
@@ -27,11 +27,11 @@
   for (std::size_t cut = 0; cut <= whole.size(); ++cut) {
     EventRelay relay;
     std::string out;
-    REQUIRE(relay.Feed(whole.substr(0, cut), out) == EventRelay::Verdict::kFine);
+    REQUIRE(relay.Feed(whole.substr(0, cut), out) == EventRelay::Verdict::kOk);
     if (!relay.Done()) {
       relay.NextAttempt();
       const int next = static_cast<int>(relay.LastId()) + 1;
-      REQUIRE(relay.Feed(Answer(next, 4), out) == EventRelay::Verdict::kFine);
+      REQUIRE(relay.Feed(Answer(next, 4), out) == EventRelay::Verdict::kOk);
     }
     CHECK(relay.Done());
     CHECK(out == whole);
@@ -41,7 +41,7 @@
   }
 }
 
-TEST_CASE("an endpoint that begins again from the start doubles nothing") {
+TEST_CASE("an endpoint that begins again from the start causes no duplicate events") {
   EventRelay relay;
   std::string out;
   relay.Feed(Event(0) + Event(1), out);
@@ -52,28 +52,28 @@
                     "an endpoint that begins again");
 }
 
-TEST_CASE("a gap is never passed on") {
+TEST_CASE("a gap in the events is detected and nothing after it is forwarded") {
   EventRelay relay;
   std::string out;
   CHECK(relay.Feed(Event(0) + Event(2), out) == EventRelay::Verdict::kGap);
   CHECK(out == Event(0));
 }
 
-TEST_CASE("events without numbers are not resumable") {
+TEST_CASE("a stream with events without ids is not resumable") {
   EventRelay relay;
   std::string out;
   relay.Feed("data: a\n\n", out);
   CHECK_FALSE(relay.Resumable());
 }
 
-TEST_CASE("what follows the end mark is dropped") {
+TEST_CASE("events after the end of the stream are dropped") {
   EventRelay relay;
   std::string out;
   relay.Feed(Answer(0, 0) + Event(1), out);
   CHECK(out == Answer(0, 0));
 }
 
-TEST_CASE("a call that may not be repeated is sent again only when it surely did not run") {
+TEST_CASE("a call that may not be repeated is retried only if it provably did not run") {
   const TimePoint now;
   for (const auto failure :
        {AttemptFailure::kConnect, AttemptFailure::kNotResident, AttemptFailure::kBusy,
@@ -93,7 +93,7 @@
   fakes::ProvedCell("sent", "connection cut after the call", "a call that may not be repeated");
 }
 
-TEST_CASE("once it may have run, no later failure makes it count as not run") {
+TEST_CASE("a request that may have run stays marked so after later failures") {
   const TimePoint now;
   RetryPolicy policy(RetrySettings{}, 1);
   AttemptState state;
@@ -105,7 +105,7 @@
   CHECK(std::get<GiveUp>(decided).may_have_run);
 }
 
-TEST_CASE("retries stay a share of the traffic") {
+TEST_CASE("retries are bounded to a share of the first attempts") {
   RetrySettings settings;
   settings.budget = 0.1;
   settings.attempts = 10;
@@ -123,7 +123,7 @@
   CHECK(retries >= kRequests / 10);
 }
 
-TEST_CASE("no retry past the deadline, nor on top of the caller's own") {
+TEST_CASE("no retry past the deadline or of a request that is itself a retry") {
   const TimePoint now;
   RetryPolicy policy(RetrySettings{}, 1);
   AttemptState late;
--- a/src/rudderloom/attempts/event_relay.cpp
+++ b/src/rudderloom/attempts/event_relay.cpp
@@ -8,7 +8,7 @@
 namespace {
 
 constexpr std::string_view kEventEnd = "\n\n";
-constexpr std::string_view kDoneMark = "data: [DONE]";
+constexpr std::string_view kDoneEvent = "data: [DONE]";
 
 std::optional<std::int64_t> IdOf(std::string_view event) {
   constexpr std::string_view kField = "id:";
@@ -29,33 +29,33 @@
 
 }  // namespace
 
-EventRelay::Verdict EventRelay::Feed(std::string_view piece, std::string& out) {
-  partial_ += piece;
+EventRelay::Verdict EventRelay::Feed(std::string_view chunk, std::string& out) {
+  partial_ += chunk;
   std::size_t start = 0;
   for (std::size_t end = partial_.find(kEventEnd); end != std::string::npos;
        end = partial_.find(kEventEnd, start)) {
     const std::size_t next = end + kEventEnd.size();
-    if (Event(std::string_view(partial_).substr(start, next - start), out) == Verdict::kGap) {
+    if (AppendEvent(std::string_view(partial_).substr(start, next - start), out) == Verdict::kGap) {
       return Verdict::kGap;
     }
     start = next;
   }
   partial_.erase(0, start);
-  return Verdict::kFine;
+  return Verdict::kOk;
 }
 
-EventRelay::Verdict EventRelay::Event(std::string_view event, std::string& out) {
+EventRelay::Verdict EventRelay::AppendEvent(std::string_view event, std::string& out) {
   if (done_) {
-    return Verdict::kFine;
+    return Verdict::kOk;
   }
-  if (event.starts_with(kDoneMark)) {
+  if (event.starts_with(kDoneEvent)) {
     done_ = true;
     out += event;
-    return Verdict::kFine;
+    return Verdict::kOk;
   }
   const auto id = IdOf(event);
   if (id && *id <= last_id_) {
-    return Verdict::kFine;
+    return Verdict::kOk;
   }
   if (id && *id > last_id_ + 1) {
     return Verdict::kGap;
@@ -66,7 +66,7 @@
     ++unnumbered_;
   }
   out += event;
-  return Verdict::kFine;
+  return Verdict::kOk;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/attempts/retry_policy.cpp
+++ b/src/rudderloom/attempts/retry_policy.cpp
@@ -7,10 +7,10 @@
 namespace rudderloom {
 
 namespace {
-// A quiet process may still retry this often, and a busy one saves up no more than this.
-constexpr double kStartBudget = 10.0;
-constexpr double kMostBudget = 50.0;
-constexpr std::int64_t kLongestBackoffSteps = 16;
+// Initial budget for processes with few requests, and the most that a busy process can accumulate.
+constexpr double kInitialBudget = 10.0;
+constexpr double kMaxBudget = 50.0;
+constexpr std::int64_t kMaxBackoffFactor = 16;
 }  // namespace
 
 std::string_view NameOf(AttemptFailure failure) {
@@ -41,10 +41,10 @@
 }
 
 RetryPolicy::RetryPolicy(RetrySettings settings, std::uint64_t seed)
-    : settings_(settings), budget_(kStartBudget), seed_(seed) {}
+    : settings_(settings), budget_(kInitialBudget), seed_(seed) {}
 
 void RetryPolicy::FirstAttempt() {
-  budget_ = std::min(kMostBudget, budget_ + settings_.budget);
+  budget_ = std::min(kMaxBudget, budget_ + settings_.budget);
 }
 
 std::variant<RetryAfter, GiveUp> RetryPolicy::Decide(AttemptFailure failure,
@@ -54,13 +54,13 @@
   if (may_have_run && !state.repeatable) {
     return GiveUp{GiveUp::Reason::kNotRepeatable, true};
   }
-  // A caller that retries by itself gets no retries on top, but for failures that cost nothing.
+  // A request that is itself a retry is retried only after failures that prove that it did not run.
   const bool exhausted =
       state.attempts >= settings_.attempts || (state.retried_before && !ProvesNotRun(failure));
   if (exhausted) {
     return GiveUp{GiveUp::Reason::kAttempts, may_have_run};
   }
-  Backoff backoff(settings_.backoff, settings_.backoff * kLongestBackoffSteps, ++seed_);
+  Backoff backoff(settings_.backoff, settings_.backoff * kMaxBackoffFactor, ++seed_);
   Duration pause = backoff.Next();
   for (std::int64_t i = 1; i < state.attempts; ++i) {
     pause = backoff.Next();
