--- a/include/rudderloom/routing/router.hpp
+++ b/include/rudderloom/routing/router.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which endpoint a request goes to. Pure but for its random numbers, which are seeded.
+/// Chooses the endpoint for a request. Deterministic for a given seed.
 #ifndef RUDDERLOOM_ROUTING_ROUTER_HPP
 #define RUDDERLOOM_ROUTING_ROUTER_HPP
 
@@ -13,62 +13,65 @@
 
 namespace rudderloom {
 
-/// @brief What a request asks of the choice.
+/// @brief Constraints of one request on the choice of an endpoint.
 /// @ingroup routing
 struct RouteAsk {
-  std::uint64_t prefix = 0;             ///< Hash of the prompt's beginning.
-  bool fills = false;                   ///< Takes only what urgent work leaves.
+  std::uint64_t prefix = 0;  ///< Hash of the prompt's prefix.
+  bool fills = false;        ///< Background request: uses only capacity that urgent requests leave.
   std::vector<std::uint32_t> excluded;  ///< Ids of endpoints that failed this request.
 };
 
-/// @brief How a request on an endpoint ended, as far as the choice of endpoints goes.
+/// @brief How a request on an endpoint ended, for later choices.
 /// @ingroup routing
 enum class RouteResult { kServed, kFailed, kRefused };
 
-/// @brief Keeps this node's own counts by endpoint and chooses among them.
+/// @brief Tracks this node's requests per endpoint and chooses an endpoint for each request.
 /// @ingroup routing
 class Router {
  public:
   explicit Router(std::uint64_t seed) : random_(seed) {}
 
-  /// @brief The endpoint to use, as an index into the snapshot; empty when all are full.
-  /// Prefers the prefix's own endpoint while its expected wait is near the others'.
+  /// @brief Chooses an endpoint, given as an index into the snapshot; empty if all are full.
+  /// Prefers the endpoint that the prefix maps to while its expected wait is close to the others'.
   std::optional<std::uint32_t> Choose(const Snapshot& snapshot,
                                       const ServingSet& set,
                                       const RouteAsk& ask,
                                       TimePoint now);
 
-  /// @brief Counts a request in.
+  /// @brief Records the start of a request.
   void Started(std::uint32_t id);
 
-  /// @brief Counts a request out; `first_byte` tells slow endpoints from quick ones.
+  /// @brief Records the end of a request; `first_byte` is the time to its first byte, used to
+  /// detect slow endpoints.
   void Ended(std::uint32_t id, RouteResult result, Duration first_byte, TimePoint now);
 
-  /// @brief Requests of this node on an endpoint.
+  /// @brief Number of this node's requests in flight on an endpoint.
   std::uint32_t InFlight(std::uint32_t id) const;
 
-  /// @brief Requests that this node may still start on the endpoints of a set.
+  /// @brief Number of requests that this node may run on the endpoints of a set: the sum of its
+  /// even shares.
   std::uint32_t Room(const Snapshot& snapshot, const ServingSet& set) const;
 
  private:
   struct Load {
     std::uint32_t in_flight = 0;
-    double first_byte_ms = 0.0;  // smoothed; 0 before the first
-    std::uint32_t failures = 0;  // in a row
-    std::optional<TimePoint> closed_until;
+    double first_byte_ms = 0.0;  // moving average; 0 before the first sample
+    std::uint32_t consecutive_failures = 0;
+    std::optional<TimePoint> ejected_until;
   };
 
-  Load& At(std::uint32_t id);
-  bool MayTake(const Snapshot& snapshot, std::uint32_t index, const RouteAsk& ask, TimePoint now);
+  Load& LoadOf(std::uint32_t id);
+  bool CanAccept(const Snapshot& snapshot, std::uint32_t index, const RouteAsk& ask, TimePoint now);
   double Cost(const Snapshot& snapshot, std::uint32_t index);
-  std::uint32_t Draw(std::uint32_t count);
+  std::uint32_t RandomIndex(std::uint32_t count);
 
   std::vector<Load> loads_;
-  double usual_ms_ = 0.0;  // time to the first byte, smoothed over all endpoints
+  double mean_first_byte_ms_ = 0.0;  // time to the first byte, moving average over all endpoints
   std::mt19937_64 random_;
 };
 
-/// @brief Hash of the beginning of a prompt, coarse enough for requests that share a prefix.
+/// @brief Hashes the first bytes of a prompt, so that requests with a common prefix get the same
+/// hash.
 /// @ingroup routing
 std::uint64_t PrefixHash(std::string_view model, std::string_view prompt);
 
--- a/src/rudderloom/routing/router_test.cpp
+++ b/src/rudderloom/routing/router_test.cpp
@@ -33,7 +33,7 @@
 
 }  // namespace
 
-TEST_CASE("requests with one prefix stay on one endpoint while it has room") {
+TEST_CASE("requests with a common prefix stay on one endpoint while it has free slots") {
   const Snapshot snapshot = MakeSnapshot(10, 8);
   Router router(1);
   RouteAsk ask;
@@ -49,7 +49,7 @@
   CHECK(counts.size() == 1);
 }
 
-TEST_CASE("nothing is sent past the slots, the others' requests counted") {
+TEST_CASE("slots are not exceeded, including other nodes' requests") {
   Snapshot snapshot = MakeSnapshot(4, 8);
   snapshot.endpoints[0].others_in_flight = 8;
   Router router(1);
@@ -59,7 +59,8 @@
     ++started;
     REQUIRE(started < 100);
   }
-  // Three endpoints with eight slots, and this node's own share of the one that others filled.
+  // Eight slots on each of three endpoints, and this node's even share of the one that other nodes
+  // filled.
   CHECK(started == 3 * 8 + 8);
   snapshot.live_nodes = 8;
   Router second(2);
@@ -68,11 +69,12 @@
     second.Started(*chosen);
     ++started;
   }
-  // Among eight nodes: what is borrowed ends at three quarters, since the others are heard late.
+  // With eight nodes, a node borrows only up to three quarters of the slots, since other nodes'
+  // requests are known with a delay.
   CHECK(started == 3 * 6 + 1);
 }
 
-TEST_CASE("work that only fills leaves room for urgent work") {
+TEST_CASE("background requests leave capacity for urgent requests") {
   const Snapshot snapshot = MakeSnapshot(1, 8);
   Router router(1);
   RouteAsk fills;
@@ -86,7 +88,7 @@
   CHECK(router.Choose(snapshot, snapshot.models.at("m"), {}, kStart));
 }
 
-TEST_CASE("an endpoint that turns slow without failing gets little") {
+TEST_CASE("an endpoint that becomes slow without failing gets few requests") {
   const Snapshot snapshot = MakeSnapshot(5, 100);
   Router router(3);
   std::map<std::uint32_t, int> counts;
@@ -102,7 +104,7 @@
   CHECK(counts[2] < 2'000 / 5 / 4);
 }
 
-TEST_CASE("an endpoint that fails is closed, then tried by one request") {
+TEST_CASE("a failing endpoint is ejected, then probed by one request") {
   const Snapshot snapshot = MakeSnapshot(1, 8);
   const ServingSet& set = snapshot.models.at("m");
   Router router(1);
@@ -120,7 +122,7 @@
   CHECK(router.Choose(snapshot, set, {}, later));
 }
 
-TEST_CASE("an endpoint that goes moves only its own share of prefixes") {
+TEST_CASE("removing an endpoint remaps only its own share of prefixes") {
   std::vector<std::string> names;
   names.reserve(10);
   for (int i = 0; i < 10; ++i) {
