--- a/include/rudderloom/http/asio.hpp
+++ b/include/rudderloom/http/asio.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The few names of Boost.Asio and Boost.Beast that every HTTP user in this project shares.
+/// Boost.Asio and Boost.Beast aliases shared by all HTTP code.
 #ifndef RUDDERLOOM_HTTP_ASIO_HPP
 #define RUDDERLOOM_HTTP_ASIO_HPP
 
@@ -32,25 +32,25 @@
 namespace http = boost::beast::http;
 using tcp = boost::asio::ip::tcp;
 
-/// @brief Ends at a moment of our clock. What was due while the machine was suspended ends when any
-/// timer of the same io_context next does.
+/// @brief A timer on SuspendAwareClock. A timer that came due while the machine was suspended
+/// expires together with the next timer of the same io_context.
 /// @ingroup http
 using Timer = asio::basic_waitable_timer<SuspendAwareClock>;
 
-/// @brief A coroutine that gives a T.
+/// @brief A coroutine that returns a T.
 /// @ingroup http
 template <class T>
 using Awaitable = asio::awaitable<T>;
 
-/// @brief Completion token: the coroutine gets (error_code, values...) and nothing throws.
+/// @brief Completion token that returns (error_code, values...) as a tuple instead of throwing.
 /// @ingroup http
 inline constexpr auto kAsTuple = asio::as_tuple(asio::use_awaitable);
 
-/// @brief A whole request with its body in memory (bounded by the server's limits).
+/// @brief A complete request with its body in memory; the server's limits bound its size.
 /// @ingroup http
 using HttpRequest = http::request<http::string_body>;
 
-/// @brief A whole answer with its body in memory.
+/// @brief A complete response with its body in memory.
 /// @ingroup http
 using HttpResponse = http::response<http::string_body>;
 
--- a/include/rudderloom/http/client.hpp
+++ b/include/rudderloom/http/client.hpp
@@ -1,5 +1,6 @@
 /// @file
-/// HTTP/1.1 client on Boost.Beast that says, for each failure, whether a byte may have left.
+/// HTTP/1.1 client on Boost.Beast that reports for each failure whether any byte may have been
+/// sent.
 #ifndef RUDDERLOOM_HTTP_CLIENT_HPP
 #define RUDDERLOOM_HTTP_CLIENT_HPP
 
@@ -14,30 +15,30 @@
 
 namespace rudderloom {
 
-/// @brief A call that got no whole answer.
+/// @brief A call that did not receive a complete response.
 /// @ingroup http
 struct HttpFailure {
   bool may_have_left = false;  ///< False only when no byte of the request was written.
   bool timed_out = false;
-  bool on_reused = false;  ///< The connection had carried an earlier call.
+  bool on_reused = false;  ///< The connection had been used by an earlier call.
   std::string message;
 };
 
-/// @brief How long the steps of a call may take.
+/// @brief Timeouts for the steps of a call.
 /// @ingroup http
 struct CallTimes {
   Duration connect{1'000};
-  Duration first_byte{10'000};  ///< From the request written to the answer's header read.
-  Duration between{10'000};     ///< Between two pieces of the body.
+  Duration first_byte{10'000};  ///< From sending the request to the response header.
+  Duration between{10'000};     ///< Between two chunks of the body.
 };
 
-/// @brief Whether a call may use a connection that carried others before.
-/// A reused connection may have been closed by the other side, after which one can't tell
-/// whether the request was read; calls that may not be repeated take a fresh one.
+/// @brief Whether a call may reuse a pooled connection.
+/// The peer may already have closed a reused connection, and then it is unknown whether it read
+/// the request. Calls that must not be repeated therefore open a new connection.
 /// @ingroup http
 enum class Reuse { kAllowed, kNever };
 
-/// @brief An answer whose header is read and whose body is read piece by piece.
+/// @brief A response whose header has been read and whose body is read incrementally.
 /// @ingroup http
 class HttpStream {
  public:
@@ -45,19 +46,19 @@
 
   HttpStream(tcp::socket socket, CallTimes times);
 
-  /// @brief Sends the request and reads the header of the answer.
+  /// @brief Sends the request and reads the response header.
   Awaitable<std::variant<End, HttpFailure>> Start(const HttpRequest& request);
 
   unsigned Status() const;
   std::string Header(std::string_view name) const;
 
-  /// @brief All headers of the answer but those that concern one connection only.
+  /// @brief All response headers except the hop-by-hop ones.
   HeaderList EndToEndHeaders() const;
 
-  /// @brief The next piece of the body, its proper end, or a failure.
+  /// @brief Returns the next chunk of the body, End after a complete body, or a failure.
   Awaitable<std::variant<std::string, End, HttpFailure>> ReadSome();
 
-  /// @brief True once the body ended properly and the connection may carry another call.
+  /// @brief True once the body is complete and the connection can serve another call.
   bool Reusable() const;
 
   tcp::socket TakeSocket() { return std::move(socket_); }
@@ -66,56 +67,57 @@
   HttpFailure FailureAfterSend(boost::system::error_code error, bool timed_out) const;
 
   tcp::socket socket_;
-  CallTimes times_;
+  CallTimes timeouts_;
   beast::flat_buffer buffer_;
   http::response_parser<http::buffer_body> parser_;
 };
 
-/// @brief Makes the kernel give a connection up once its other side has been silent for `limit`,
-/// also while nothing is being sent: a peer that lost power or was cut off never says so.
+/// @brief Makes the kernel drop a connection once its peer has been silent for `limit`, even while
+/// no data is being sent: a peer that lost power or its network link never closes the connection.
 /// @ingroup http
 void GuardAgainstSilence(tcp::socket& socket, Duration limit);
 
-/// @brief Splits `127.0.0.1:8080`; throws std::invalid_argument when it isn't an IP and a port.
+/// @brief Parses an address such as `127.0.0.1:8080`.
+/// @throws std::invalid_argument when it is not an IP address and a port.
 /// @ingroup http
 tcp::endpoint ParseAddress(const std::string& address);
 
-/// @brief Calls by IP number, with idle connections kept for reuse. One thread only.
+/// @brief HTTP client that addresses servers by IP and pools idle connections. Not thread-safe.
 /// @ingroup http
 class HttpClient {
  public:
   explicit HttpClient(asio::io_context& context) : context_(context) {}
 
-  /// @brief Sends a request and gives the answer with its header read.
+  /// @brief Sends a request and returns the response once its header has been read.
   Awaitable<std::variant<std::unique_ptr<HttpStream>, HttpFailure>> Open(std::string address,
                                                                          HttpRequest request,
                                                                          CallTimes times,
                                                                          Reuse reuse);
 
-  /// @brief Sends a request and reads the whole answer.
+  /// @brief Sends a request and reads the complete response.
   Awaitable<std::variant<HttpResponse, HttpFailure>> Call(std::string address,
                                                           HttpRequest request,
                                                           CallTimes times,
                                                           Reuse reuse);
 
-  /// @brief Gives a stream's connection back for reuse when that is safe.
+  /// @brief Returns a stream's connection to the pool if it can be reused.
   void Release(const std::string& address, std::unique_ptr<HttpStream> stream);
 
  private:
-  struct Idle {
+  struct IdleConnection {
     tcp::socket socket;
-    TimePoint used_at;  ///< When an answer last came on it.
+    TimePoint last_used_at;  ///< When the last response on it was completed.
   };
 
   std::optional<tcp::socket> TakeIdle(const std::string& address);
-  // Closes the connections on which nothing has come since `moment`.
-  void DropIdleSince(const std::string& address, TimePoint moment);
+  // Closes the pooled connections that were last used at or before `cutoff`.
+  void CloseIdleUnusedSince(const std::string& address, TimePoint cutoff);
 
   asio::io_context& context_;
-  std::map<std::string, std::vector<Idle>> idle_;
+  std::map<std::string, std::vector<IdleConnection>> idle_connections_;
 };
 
-/// @brief A request without or with a JSON body.
+/// @brief Creates a request; a non-empty body is sent as JSON.
 /// @ingroup http
 HttpRequest MakeRequest(http::verb verb,
                         const std::string& address,
--- a/include/rudderloom/http/ending_context.hpp
+++ b/include/rudderloom/http/ending_context.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// An io_context whose suspended coroutines end before what they refer to.
+/// An io_context whose suspended coroutines can be destroyed before the state they refer to.
 #ifndef RUDDERLOOM_HTTP_ENDING_CONTEXT_HPP
 #define RUDDERLOOM_HTTP_ENDING_CONTEXT_HPP
 
@@ -9,16 +9,16 @@
 
 /// @brief An io_context that can destroy its suspended coroutines while it still exists.
 ///
-/// A server's sockets and timers need the context and are destroyed before it. The context's own
-/// destructor destroys the coroutines that are still suspended, after the server's state that
-/// their locals refer to. So the owner of both calls `EndCoroutines` first.
+/// A server's sockets and timers need the context and are destroyed before it. The destructor of
+/// io_context destroys the coroutines that are still suspended, which is after the server state
+/// that their locals refer to is gone. The owner of both therefore calls `EndCoroutines` first.
 /// @ingroup http
 class EndingContext : public asio::io_context {
  public:
   using asio::io_context::io_context;
 
-  /// @brief Destroys all suspended coroutines and handlers. The context must have been stopped and
-  /// nobody may run it any more.
+  /// @brief Destroys all suspended coroutines and handlers. The context must be stopped, and
+  /// no thread may run it afterwards.
   void EndCoroutines() { shutdown(); }
 };
 
--- a/include/rudderloom/http/listening.hpp
+++ b/include/rudderloom/http/listening.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Whether a process listens at an address.
+/// Checks whether a process listens on an address.
 #ifndef RUDDERLOOM_HTTP_LISTENING_HPP
 #define RUDDERLOOM_HTTP_LISTENING_HPP
 
@@ -10,8 +10,9 @@
 
 namespace rudderloom {
 
-/// @brief True when the machine answers that no process listens there. A machine that doesn't
-/// answer within `limit` tells nothing: its power or its link may be gone.
+/// @brief True when the host refuses the connection, so no process listens on the address. False
+/// when a connection is accepted, and when the host does not answer within `limit`, because it may
+/// be powered off or unreachable.
 /// @ingroup http
 Awaitable<bool> NobodyListens(asio::io_context& context, std::string address, Duration limit);
 
--- a/include/rudderloom/http/pause.hpp
+++ b/include/rudderloom/http/pause.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A pause within a coroutine.
+/// Delays a coroutine.
 #ifndef RUDDERLOOM_HTTP_PAUSE_HPP
 #define RUDDERLOOM_HTTP_PAUSE_HPP
 
@@ -8,7 +8,7 @@
 
 namespace rudderloom {
 
-/// @brief Resumes after `pause`; other coroutines of the io_context go on in the meantime.
+/// @brief Resumes after `pause`; other coroutines of the io_context keep running.
 /// @ingroup http
 inline Awaitable<void> PauseFor(asio::io_context& context, Duration pause) {
   Timer timer(context, pause);
--- a/include/rudderloom/http/server.hpp
+++ b/include/rudderloom/http/server.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 server on Boost.Beast: limits, whole answers, streamed answers and a planned stop.
+/// HTTP/1.1 server on Boost.Beast: limits, complete and streamed responses, and graceful shutdown.
 #ifndef RUDDERLOOM_HTTP_SERVER_HPP
 #define RUDDERLOOM_HTTP_SERVER_HPP
 
@@ -15,18 +15,18 @@
 
 namespace rudderloom {
 
-/// @brief Bounds on what one connection may cost.
+/// @brief Limits on the memory and time of a connection, and on the number of connections.
 /// @ingroup http
 struct HttpLimits {
   std::uint32_t header_bytes = 16 * 1024;
   std::uint64_t body_bytes = 4 * 1024 * 1024;
   Duration header_time{5'000};  ///< From the first byte of a request to the end of its body.
   Duration idle_time{60'000};   ///< Between requests on one connection.
-  Duration write_time{10'000};  ///< For the other side to take one piece of an answer.
+  Duration write_time{10'000};  ///< For the peer to accept one write of a response.
   std::uint32_t connections = 4096;
 };
 
-/// @brief Why a request could not be read, or a connection not be kept.
+/// @brief Why a request could not be read or a connection was refused.
 /// @ingroup http
 enum class ReadFailure {
   kHeaderTooLarge,
@@ -36,7 +36,7 @@
   kTooManyConnections,
 };
 
-/// @brief A whole answer.
+/// @brief A complete response.
 /// @ingroup http
 struct Reply {
   unsigned status = 200;
@@ -45,7 +45,7 @@
   HeaderList headers;
 };
 
-/// @brief One request and its answer on a server connection.
+/// @brief One request and its response on a server connection.
 /// @ingroup http
 class HttpExchange {
  public:
@@ -56,39 +56,39 @@
 
   const HttpRequest& Request() const { return request_; }
 
-  /// @brief Sends a whole answer; false when the other side is gone or too slow.
+  /// @brief Sends a complete response; false when the peer has disconnected or reads too slowly.
   Awaitable<bool> Send(Reply reply);
 
-  /// @brief Sends the header of a chunked answer.
+  /// @brief Sends the header of a chunked response.
   Awaitable<bool> StartStream(unsigned status, std::string content_type, HeaderList headers);
 
-  /// @brief Sends one chunk and waits until the other side's window took it.
+  /// @brief Sends one chunk and waits until the socket has accepted it.
   Awaitable<bool> WriteChunk(std::string_view data);
 
-  /// @brief Ends a chunked answer properly.
+  /// @brief Sends the final chunk of a chunked response.
   Awaitable<bool> EndStream();
 
-  /// @brief Makes the connection close without a proper end, so that a cut answer shows as cut.
+  /// @brief Closes the connection without a final chunk, so that the client detects truncation.
   void Abort() { aborted_ = true; }
 
-  /// @brief True when the other side has closed its half; never blocks.
+  /// @brief True when the peer has closed its side of the connection; never blocks.
   bool PeerClosed();
 
-  /// @brief Calls `gone` once, from the io_context, when the other side closes its connection
-  /// before StopWatching; one that sends more in the meantime is no longer watched.
-  void WatchPeer(std::function<void()> gone);
+  /// @brief Calls `on_close` once, from the io_context, if the peer closes the connection before
+  /// StopWatching. A peer that sends more data in the meantime is no longer watched.
+  void WatchPeer(std::function<void()> on_close);
   void StopWatching();
 
   bool Started() const { return started_; }
   bool KeepAlive() const;
   bool TooSlow() const { return too_slow_; }
 
-  /// @brief Asks for the connection to be closed after this answer, which says so.
+  /// @brief Closes the connection after this response, which carries `Connection: close`.
   void CloseAfterAnswer() { request_.keep_alive(false); }
 
  private:
   struct PeerWatch {
-    std::function<void()> gone;
+    std::function<void()> on_close;
   };
 
   tcp::socket& socket_;
@@ -101,38 +101,38 @@
   std::shared_ptr<PeerWatch> watch_;
 };
 
-/// @brief What a server does with requests.
+/// @brief Callbacks of a server.
 /// @ingroup http
 struct HttpHandlers {
-  /// @brief Answers one request; must send an answer or abort.
+  /// @brief Handles one request; must send a response or abort.
   std::function<Awaitable<void>(HttpExchange&)> handle;
-  /// @brief The answer for a request that could not be read.
+  /// @brief Returns the response for a request that could not be read.
   std::function<Reply(ReadFailure)> read_failure;
-  /// @brief Called when an answer was given up because the other side read too slowly.
+  /// @brief Called when a response was abandoned because the peer read too slowly.
   std::function<void()> slow_reader;
 };
 
-/// @brief Accepts connections until stopped. Use from the io_context's thread only.
+/// @brief Accepts connections until stopped. Must be used only from the io_context's thread.
 /// @ingroup http
 class HttpServer : public std::enable_shared_from_this<HttpServer> {
  public:
   HttpServer(asio::io_context& context, HttpLimits limits, HttpHandlers handlers);
 
-  /// @brief Listens on an IP number; port 0 takes one from the kernel. Gives the port taken.
-  /// @throws boost::system::system_error when the address can't be had.
+  /// @brief Listens on an IP address; with port 0 the kernel chooses one. Returns the port.
+  /// @throws boost::system::system_error when the address cannot be bound.
   std::uint16_t Listen(const std::string& ip, std::uint16_t port);
 
-  /// @brief Asks for each connection to be closed after its present answer.
-  void CloseAfterAnswers() { closing_ = true; }
+  /// @brief Closes each connection after the response to its next request.
+  void CloseAfterAnswers() { close_after_response_ = true; }
 
-  /// @brief Other limits from the next request on.
+  /// @brief Sets the limits, effective from the next request on.
   void SetLimits(const HttpLimits& limits) { limits_ = limits; }
 
-  /// @brief Stops accepting and closes connections that are idle; the others end their answer.
+  /// @brief Stops accepting and closes idle connections; the others finish their response.
   void Stop();
 
-  /// @brief Requests being answered now.
-  std::uint64_t Active() const { return active_; }
+  /// @brief Number of requests in progress.
+  std::uint64_t Active() const { return active_requests_; }
 
  private:
   Awaitable<void> AcceptLoop();
@@ -145,10 +145,10 @@
   HttpLimits limits_;
   HttpHandlers handlers_;
   tcp::acceptor acceptor_;
-  std::uint64_t active_ = 0;
+  std::uint64_t active_requests_ = 0;
   std::uint64_t connections_ = 0;
-  std::set<tcp::socket*> idle_;  // waiting for a request; a stop wakes them
-  bool closing_ = false;
+  std::set<tcp::socket*> idle_sockets_;  // waiting for a request; Stop() cancels their reads
+  bool close_after_response_ = false;
   bool stopping_ = false;
 };
 
--- a/src/rudderloom/http/client.cpp
+++ b/src/rudderloom/http/client.cpp
@@ -16,17 +16,17 @@
 
 namespace {
 
-constexpr std::size_t kPieceBytes = 16 * 1024;
-constexpr std::size_t kIdlePerAddress = 64;
+constexpr std::size_t kChunkBytes = 16 * 1024;
+constexpr std::size_t kMaxIdlePerAddress = 64;
 
 constexpr int kKeepaliveProbes = 2;
-constexpr Duration kSilenceLimit{2'500};
+constexpr Duration kPeerSilenceLimit{2'500};
 
 void SetOption(tcp::socket& socket, int level, int name, int value) {
   ::setsockopt(socket.native_handle(), level, name, &value, sizeof(value));
 }
 
-bool StillOpen(tcp::socket& socket) {
+bool IsStillOpen(tcp::socket& socket) {
   char byte = 0;
   const auto got = ::recv(socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT);
   return got < 0 && (errno == EAGAIN || errno == EWOULDBLOCK);
@@ -55,7 +55,7 @@
   boost::system::error_code error;
   const auto ip = asio::ip::make_address(address.substr(0, colon), error);
   if (error || parsed.ec != std::errc() || parsed.ptr != end || port == 0) {
-    throw std::invalid_argument("not an IP number and port: " + address);
+    throw std::invalid_argument("not an IP address and port: " + address);
   }
   return {ip, port};
 }
@@ -75,7 +75,7 @@
 }
 
 HttpStream::HttpStream(tcp::socket socket, CallTimes times)
-    : socket_(std::move(socket)), times_(times) {
+    : socket_(std::move(socket)), timeouts_(times) {
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
@@ -89,7 +89,7 @@
 
 Awaitable<std::variant<HttpStream::End, HttpFailure>> HttpStream::Start(
     const HttpRequest& request) {
-  Watchdog watchdog(socket_, times_.first_byte);
+  Watchdog watchdog(socket_, timeouts_.first_byte);
   const auto [write_error, written] = co_await http::async_write(socket_, request, kAsTuple);
   if (write_error) {
     HttpFailure failure = FailureAfterSend(write_error, watchdog.Expired());
@@ -115,11 +115,11 @@
 HeaderList HttpStream::EndToEndHeaders() const {
   HeaderList headers;
   for (const auto& field : parser_.get()) {
-    const bool one_hop =
+    const bool hop_by_hop =
         field.name() == http::field::connection || field.name() == http::field::keep_alive ||
         field.name() == http::field::transfer_encoding ||
         field.name() == http::field::content_length || field.name() == http::field::upgrade;
-    if (!one_hop) {
+    if (!hop_by_hop) {
       headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
     }
   }
@@ -127,15 +127,15 @@
 }
 
 Awaitable<std::variant<std::string, HttpStream::End, HttpFailure>> HttpStream::ReadSome() {
-  std::array<char, kPieceBytes> piece;
+  std::array<char, kChunkBytes> chunk;
   while (!parser_.is_done()) {
-    parser_.get().body().data = piece.data();
-    parser_.get().body().size = piece.size();
-    Watchdog watchdog(socket_, times_.between);
+    parser_.get().body().data = chunk.data();
+    parser_.get().body().size = chunk.size();
+    Watchdog watchdog(socket_, timeouts_.between);
     const auto [error, size] = co_await http::async_read_some(socket_, buffer_, parser_, kAsTuple);
-    const std::size_t got = piece.size() - parser_.get().body().size;
+    const std::size_t got = chunk.size() - parser_.get().body().size;
     if (got > 0) {
-      co_return std::string(piece.data(), got);
+      co_return std::string(chunk.data(), got);
     }
     if (error && error != http::error::need_buffer) {
       co_return FailureAfterSend(error, watchdog.Expired());
@@ -149,19 +149,21 @@
 }
 
 std::optional<tcp::socket> HttpClient::TakeIdle(const std::string& address) {
-  auto& connections = idle_[address];
+  auto& connections = idle_connections_[address];
   while (!connections.empty()) {
     tcp::socket socket = std::move(connections.back().socket);
     connections.pop_back();
-    if (StillOpen(socket)) {
+    if (IsStillOpen(socket)) {
       return socket;
     }
   }
   return std::nullopt;
 }
 
-void HttpClient::DropIdleSince(const std::string& address, TimePoint moment) {
-  std::erase_if(idle_[address], [&](const Idle& idle) { return idle.used_at <= moment; });
+void HttpClient::CloseIdleUnusedSince(const std::string& address, TimePoint cutoff) {
+  std::erase_if(idle_connections_[address], [&](const IdleConnection& connection) {
+    return connection.last_used_at <= cutoff;
+  });
 }
 
 Awaitable<std::variant<std::unique_ptr<HttpStream>, HttpFailure>>
@@ -189,17 +191,17 @@
     }
     boost::system::error_code ignored;
     socket->set_option(tcp::no_delay(true), ignored);
-    GuardAgainstSilence(*socket, kSilenceLimit);
+    GuardAgainstSilence(*socket, kPeerSilenceLimit);
   }
   auto stream = std::make_unique<HttpStream>(std::move(*socket), times);
   const TimePoint started_at = Now();
   auto started = co_await stream->Start(request);
   if (auto* failure = std::get_if<HttpFailure>(&started)) {
     failure->on_reused = reused;
-    // Connections may go silent together, without a reset, while new ones work: each would cost
-    // another call its whole time.
+    // Pooled connections can stop responding together, without a reset, while new ones still work.
+    // Keeping them would cost one further call its full timeout for each of them.
     if (reused && failure->timed_out) {
-      DropIdleSince(address, started_at);
+      CloseIdleUnusedSince(address, started_at);
     }
     co_return *failure;
   }
@@ -221,14 +223,14 @@
     response.insert(name, value);
   }
   while (true) {
-    auto piece = co_await stream->ReadSome();
-    if (auto* failure = std::get_if<HttpFailure>(&piece)) {
+    auto chunk = co_await stream->ReadSome();
+    if (auto* failure = std::get_if<HttpFailure>(&chunk)) {
       co_return *failure;
     }
-    if (std::holds_alternative<HttpStream::End>(piece)) {
+    if (std::holds_alternative<HttpStream::End>(chunk)) {
       break;
     }
-    response.body() += std::get<std::string>(piece);
+    response.body() += std::get<std::string>(chunk);
   }
   Release(address, std::move(stream));
   co_return response;
@@ -238,8 +240,8 @@
   if (!stream->Reusable()) {
     return;
   }
-  auto& connections = idle_[address];
-  if (connections.size() < kIdlePerAddress) {
+  auto& connections = idle_connections_[address];
+  if (connections.size() < kMaxIdlePerAddress) {
     connections.push_back({stream->TakeSocket(), Now()});
   }
 }
--- a/src/rudderloom/http/client_test.cpp
+++ b/src/rudderloom/http/client_test.cpp
@@ -11,38 +11,38 @@
 using fakes::ScriptedEndpoint;
 using std::chrono::milliseconds;
 
-constexpr Duration kLimit{150};
+constexpr Duration kTimeout{150};
 
-using Answer = std::variant<HttpResponse, HttpFailure>;
+using CallResult = std::variant<HttpResponse, HttpFailure>;
 
-// Sends `count` calls at once and gives their answers.
-std::vector<Answer> CallAtOnce(asio::io_context& context,
-                               HttpClient& client,
-                               const std::string& address,
-                               std::size_t count) {
-  std::vector<Answer> answers(count);
-  std::size_t left = count;
-  for (Answer& answer : answers) {
+// Sends `count` concurrent calls and returns their results.
+std::vector<CallResult> CallConcurrently(asio::io_context& context,
+                                         HttpClient& client,
+                                         const std::string& address,
+                                         std::size_t count) {
+  std::vector<CallResult> results(count);
+  std::size_t pending = count;
+  for (CallResult& result : results) {
     HttpRequest request = MakeRequest(http::verb::get, address, "/");
-    const CallTimes times{kLimit, kLimit, kLimit};
+    const CallTimes times{kTimeout, kTimeout, kTimeout};
     asio::co_spawn(context, client.Call(address, std::move(request), times, Reuse::kAllowed),
-                   [&](const std::exception_ptr&, Answer got) {
-                     answer = std::move(got);
-                     --left;
+                   [&](const std::exception_ptr&, CallResult received) {
+                     result = std::move(received);
+                     --pending;
                    });
   }
-  while (left > 0) {
+  while (pending > 0) {
     context.run_one();
   }
-  return answers;
+  return results;
 }
 
-TEST_CASE("of connections that fell silent together, one call finds out for all") {
+TEST_CASE("a timeout on a pooled connection closes the others that were idle before it") {
   asio::io_context context;
-  int silent_up_to = 0;
+  int last_silent_connection = 0;
   ScriptedEndpoint server(context,
                           [&](const HttpRequest&, EndpointAnswer& answer) -> Awaitable<void> {
-                            if (answer.Connection() <= silent_up_to) {
+                            if (answer.Connection() <= last_silent_connection) {
                               co_await answer.AwaitClose(milliseconds(5'000));
                               co_return;
                             }
@@ -51,16 +51,16 @@
                             co_await answer.Write(std::move(bytes));
                           });
   HttpClient client(context);
-  for (const Answer& answer : CallAtOnce(context, client, server.Address(), 3)) {
+  for (const CallResult& answer : CallConcurrently(context, client, server.Address(), 3)) {
     CHECK(std::holds_alternative<HttpResponse>(answer));
   }
   REQUIRE(server.Connections() == 3);
-  silent_up_to = 3;
-  const Answer first = CallAtOnce(context, client, server.Address(), 1)[0];
+  last_silent_connection = 3;
+  const CallResult first = CallConcurrently(context, client, server.Address(), 1)[0];
   REQUIRE(std::holds_alternative<HttpFailure>(first));
   CHECK(std::get<HttpFailure>(first).timed_out);
   CHECK(std::get<HttpFailure>(first).on_reused);
-  const Answer second = CallAtOnce(context, client, server.Address(), 1)[0];
+  const CallResult second = CallConcurrently(context, client, server.Address(), 1)[0];
   CHECK(std::holds_alternative<HttpResponse>(second));
   CHECK(server.Connections() == 4);
 }
--- a/src/rudderloom/http/ending_context_test.cpp
+++ b/src/rudderloom/http/ending_context_test.cpp
@@ -1,4 +1,4 @@
-// The order in which a context's suspended coroutines and what they refer to are destroyed.
+// Destruction order of suspended coroutines and the state that they refer to.
 #include "rudderloom/http/ending_context.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
@@ -24,8 +24,8 @@
   co_await timer.async_wait(kAsTuple);
 }
 
-// Guards against requests that are destroyed after the server's state that they refer to.
-TEST_CASE("suspended coroutines end before the state that they refer to") {
+// Guards against request objects that outlive the server state that they refer to.
+TEST_CASE("EndCoroutines destroys suspended coroutines before the state that they refer to") {
   EndingContext context;
   auto server = std::make_unique<Server>(context);
   asio::co_spawn(context, Serve(*server), asio::detached);
--- a/src/rudderloom/http/listening.cpp
+++ b/src/rudderloom/http/listening.cpp
@@ -10,7 +10,7 @@
   try {
     endpoint = ParseAddress(address);
   } catch (const std::invalid_argument&) {
-    co_return false;  // nobody can say
+    co_return false;  // unknown: not a valid address
   }
   tcp::socket socket(context);
   const Watchdog watchdog(socket, limit);
--- a/src/rudderloom/http/server.cpp
+++ b/src/rudderloom/http/server.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr std::size_t kReadStep = 4096;
-constexpr Duration kStopPoll{50};
+constexpr std::size_t kReadBytes = 4096;
+constexpr Duration kAcceptRetryDelay{50};
 
-ReadFailure FailureOf(boost::system::error_code error) {
+ReadFailure ToReadFailure(boost::system::error_code error) {
   if (error == http::error::header_limit) {
     return ReadFailure::kHeaderTooLarge;
   }
@@ -44,7 +44,7 @@
 
 HttpExchange::~HttpExchange() {
   if (watch_) {
-    watch_->gone = nullptr;
+    watch_->on_close = nullptr;
   }
 }
 
@@ -114,23 +114,23 @@
   return got == 0 || (got < 0 && errno != EAGAIN && errno != EWOULDBLOCK);
 }
 
-void HttpExchange::WatchPeer(std::function<void()> gone) {
-  watch_ = std::make_shared<PeerWatch>(PeerWatch{std::move(gone)});
+void HttpExchange::WatchPeer(std::function<void()> on_close) {
+  watch_ = std::make_shared<PeerWatch>(PeerWatch{std::move(on_close)});
   socket_.async_wait(tcp::socket::wait_read,
                      [this, watch = watch_](boost::system::error_code error) {
-                       // Once it is stopped, this object may be gone.
-                       if (!watch->gone || (!error && !PeerClosed())) {
+                       // After StopWatching, this object may be destroyed.
+                       if (!watch->on_close || (!error && !PeerClosed())) {
                          return;
                        }
-                       const auto gone = std::move(watch->gone);
-                       watch->gone = nullptr;
-                       gone();
+                       const auto on_close = std::move(watch->on_close);
+                       watch->on_close = nullptr;
+                       on_close();
                      });
 }
 
 void HttpExchange::StopWatching() {
   if (watch_) {
-    watch_->gone = nullptr;
+    watch_->on_close = nullptr;
     watch_.reset();
     boost::system::error_code ignored;
     socket_.cancel(ignored);
@@ -155,7 +155,7 @@
   stopping_ = true;
   boost::system::error_code ignored;
   acceptor_.close(ignored);
-  for (tcp::socket* socket : idle_) {
+  for (tcp::socket* socket : idle_sockets_) {
     socket->cancel(ignored);
   }
 }
@@ -168,7 +168,7 @@
     }
     if (error) {
       LogLine("accept_failed", Severity::kWarning).With("error", error.message());
-      Timer pause(context_, kStopPoll);
+      Timer pause(context_, kAcceptRetryDelay);
       co_await pause.async_wait(kAsTuple);
       continue;
     }
@@ -195,8 +195,8 @@
   socket.shutdown(tcp::socket::shutdown_send, ignored);
 }
 
-// Waits for the first byte of a request, which may take the idle time; false when the connection
-// ends before.
+// Waits up to the idle timeout for the first byte of a request; false when the connection ends or
+// the timeout expires first.
 Awaitable<bool> HttpServer::AwaitRequest(tcp::socket& socket, beast::flat_buffer& buffer) {
   if (buffer.size() > 0) {
     co_return true;
@@ -204,10 +204,10 @@
   if (stopping_) {
     co_return false;
   }
-  idle_.insert(&socket);
+  idle_sockets_.insert(&socket);
   Watchdog watchdog(socket, limits_.idle_time);
-  const auto [error, size] = co_await socket.async_read_some(buffer.prepare(kReadStep), kAsTuple);
-  idle_.erase(&socket);
+  const auto [error, size] = co_await socket.async_read_some(buffer.prepare(kReadBytes), kAsTuple);
+  idle_sockets_.erase(&socket);
   buffer.commit(size);
   co_return !error;
 }
@@ -228,16 +228,16 @@
     } else if (error && !IsProtocolError(error)) {
       co_return false;
     } else if (error) {
-      failure = FailureOf(error);
+      failure = ToReadFailure(error);
     }
   }
   if (failure) {
     co_await Refuse(socket, *failure);
     co_return false;
   }
-  ++active_;
+  ++active_requests_;
   HttpRequest request = parser.release();
-  if (closing_) {
+  if (close_after_response_) {
     request.keep_alive(false);
   }
   HttpExchange exchange(socket, std::move(request), limits_);
@@ -247,7 +247,7 @@
     LogLine("handler_failed", Severity::kError).With("error", error.what());
     exchange.Abort();
   }
-  --active_;
+  --active_requests_;
   if (exchange.TooSlow() && handlers_.slow_reader) {
     handlers_.slow_reader();
   }
@@ -263,11 +263,12 @@
   co_await exchange.Send(std::move(reply));
   boost::system::error_code ignored;
   socket.shutdown(tcp::socket::shutdown_send, ignored);
-  // Read what is still coming for a moment: closing at once would reset the answer away.
+  // Drain incoming data for a moment: closing with unread data would reset the connection, and the
+  // client could lose the response.
   Watchdog watchdog(socket, Duration(500));
-  std::string sink(kReadStep, '\0');
+  std::string discarded(kReadBytes, '\0');
   while (!watchdog.Expired()) {
-    const auto [error, size] = co_await socket.async_read_some(asio::buffer(sink), kAsTuple);
+    const auto [error, size] = co_await socket.async_read_some(asio::buffer(discarded), kAsTuple);
     if (error) {
       co_return;
     }
--- a/src/rudderloom/http/watchdog.cpp
+++ b/src/rudderloom/http/watchdog.cpp
@@ -3,8 +3,9 @@
 namespace rudderloom {
 
 namespace {
-// A composed operation may be between two steps when the first cancel comes, so it is repeated.
-constexpr Duration kCancelAgainAfter{20};
+// A composed operation may be between two steps when the first cancel arrives, and then nothing is
+// pending to cancel. The cancel is therefore repeated.
+constexpr Duration kCancelRetryInterval{20};
 }  // namespace
 
 Watchdog::Watchdog(tcp::socket& socket, Duration limit) : state_(std::make_shared<State>(socket)) {
@@ -25,7 +26,7 @@
     state->expired = true;
     boost::system::error_code ignored;
     state->socket->cancel(ignored);
-    Arm(state, kCancelAgainAfter);
+    Arm(state, kCancelRetryInterval);
   });
 }
 
