--- a/include/rudderloom/routes/caller.hpp
+++ b/include/rudderloom/routes/caller.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Who sends a request, as the configuration knows it.
+/// Identifies the caller of a request from its API key.
 #ifndef RUDDERLOOM_ROUTES_CALLER_HPP
 #define RUDDERLOOM_ROUTES_CALLER_HPP
 
@@ -10,28 +10,29 @@
 
 namespace rudderloom {
 
-/// @brief What a caller may do on a route.
+/// @brief Result of checking a caller's key on a route.
 /// @ingroup routes
 enum class CallerStanding {
-  kAnybody,   ///< The route asks for no key.
-  kCustomer,  ///< A customer holds the caller's key.
-  kUnknown,   ///< The route asks for a key, and nobody holds the one shown, or there is none.
+  kAnybody,   ///< The route requires no key.
+  kCustomer,  ///< The key belongs to a customer.
+  kUnknown,   ///< The route requires a key, but it is missing or belongs to no customer.
 };
 
-/// @brief A caller and, where its key names one, its customer.
+/// @brief A caller and the customer that its key belongs to, if any.
 /// @ingroup routes
 struct Caller {
   CallerStanding standing = CallerStanding::kAnybody;
-  const Customer* customer = nullptr;  ///< Of the table; lives as long.
+  const Customer* customer = nullptr;  ///< Owned by the route table.
 };
 
-/// @brief Finds out who calls. A key shown on a route that asks for none is not looked at.
+/// @brief Identifies the caller. A key sent to a route that requires none is ignored.
 /// @ingroup routes
 Caller IdentifyCaller(const RouteTable& table,
                       const Route& route,
                       const std::optional<KeyDigest>& key);
 
-/// @brief The caller's rank: its customer's, where it has one, before the route's. 0 is first.
+/// @brief Priority of a caller: its customer's if that has one, otherwise the route's. 0 is the
+/// most urgent.
 /// @ingroup routes
 std::uint32_t PriorityOf(const Caller& caller, const Route& route);
 
--- a/include/rudderloom/routes/route_table.hpp
+++ b/include/rudderloom/routes/route_table.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Which service answers which request, and what each service can do: one whole configuration.
+/// Routes requests to services and describes the services: one complete configuration.
 #ifndef RUDDERLOOM_ROUTES_ROUTE_TABLE_HPP
 #define RUDDERLOOM_ROUTES_ROUTE_TABLE_HPP
 
@@ -16,15 +16,15 @@
 
 namespace rudderloom {
 
-/// @brief What may be done with a request whose attempt failed.
+/// @brief Whether a request may run again after a failed attempt.
 /// @ingroup routes
 enum class RouteKind {
   kRepeatable,  ///< May run more than once.
-  kOnce,        ///< Runs at most once for each attempt of the client.
-  kStream,      ///< Answers with server-sent events; runs once unless the route is resumable.
+  kOnce,        ///< Runs at most once for each attempt by the client.
+  kStream,      ///< Responds with server-sent events; runs once unless the route is resumable.
 };
 
-/// @brief One service of a route that is split between several.
+/// @brief A service and its weight in a route that is split between several.
 /// @ingroup routes
 struct ServiceShare {
   std::string service;
@@ -32,31 +32,31 @@
   bool operator==(const ServiceShare&) const = default;
 };
 
-/// @brief How requests of one host and path prefix are served.
+/// @brief How requests for one host and path prefix are served.
 /// @ingroup routes
 struct Route {
   std::string name;
   std::string host;
   std::string prefix;  ///< Begins and ends with a slash.
   RouteKind kind = RouteKind::kOnce;
-  Duration timeout{30'000};       ///< The longest time a request is held.
-  Duration goal{1'000};           ///< Answers within this time are worth most.
-  Duration longest_pause{1'000};  ///< Between events of a stream that counts as in time.
-  Duration patience{30'000};      ///< Clients leave when nothing has come for so long.
+  Duration timeout{30'000};       ///< Longest time for which a request is held.
+  Duration goal{1'000};           ///< Latency goal; responses within it have the highest value.
+  Duration longest_pause{1'000};  ///< Longest gap between events of a stream that is on time.
+  Duration patience{30'000};      ///< Clients disconnect after receiving nothing for this time.
   std::uint32_t priority = 0;     ///< 0 is the most urgent.
   std::uint32_t max_attempts = 1;
   bool resumable = false;
-  bool is_public = false;  ///< Callers need no key.
+  bool is_public = false;  ///< Callers need no API key.
   std::vector<ServiceShare> shares;
 
-  /// @brief True when a request of this route may be sent again after it may have run.
+  /// @brief True when a request that may already have run may be sent again.
   bool Repeatable() const {
     return kind == RouteKind::kRepeatable || (kind == RouteKind::kStream && resumable);
   }
   bool operator==(const Route&) const = default;
 };
 
-/// @brief A model that the endpoints of a service may hold.
+/// @brief A model that the endpoints of a service may load.
 /// @ingroup routes
 struct ModelSpec {
   std::string name;
@@ -68,17 +68,17 @@
   bool operator==(const ModelSpec&) const = default;
 };
 
-/// @brief What one model engine of a service holds and how fast the weight store is.
+/// @brief Capacity of one model engine of a service, and the load rate of the weight store.
 /// @ingroup routes
 struct EngineSpec {
   std::uint32_t slots = 1;
-  std::uint64_t token_capacity = 0;  ///< Of its memory for prompts and answers.
+  std::uint64_t token_capacity = 0;  ///< Tokens of prompts and responses that its memory holds.
   std::uint64_t memory_mb = 0;       ///< For weights and adapters together.
   std::uint32_t adapter_slots = 0;
   double loads_per_second = 1.0;  ///< Of the weight store, over all endpoints.
   std::vector<ModelSpec> models;
 
-  /// @brief The model of this name; null when the service has none.
+  /// @brief Returns the model with this name; null when there is none.
   const ModelSpec* Find(std::string_view name) const;
   bool operator==(const EngineSpec&) const = default;
 };
@@ -87,12 +87,12 @@
 /// @ingroup routes
 struct ServiceSpec {
   std::string name;
-  std::uint32_t max_connections = 0;  ///< Of one endpoint, from all callers; 0: no limit.
-  std::optional<EngineSpec> engine;   ///< Empty for a plain service.
+  std::uint32_t max_connections = 0;  ///< Per endpoint, over all callers; 0 means no limit.
+  std::optional<EngineSpec> engine;   ///< Empty for a service without a model engine.
   bool operator==(const ServiceSpec&) const = default;
 };
 
-/// @brief Bounds on what a client's connection may cost.
+/// @brief Limits on the memory and time of a client's connection.
 /// @ingroup routes
 struct ClientLimits {
   std::uint32_t header_bytes = 16 * 1024;
@@ -102,14 +102,14 @@
   bool operator==(const ClientLimits&) const = default;
 };
 
-/// @brief Who may call.
+/// @brief The customers, and whether callers need a key.
 /// @ingroup routes
 struct Callers {
   bool need_keys = false;  ///< On every route that isn't public.
   std::vector<Customer> customers;
 };
 
-/// @brief One configuration, whole. Immutable once it is in force.
+/// @brief One complete configuration. Immutable once it is in force.
 /// @ingroup routes
 class RouteTable {
  public:
@@ -119,12 +119,12 @@
              ClientLimits limits,
              Callers callers = {});
 
-  /// @brief The route of this host with the longest prefix of the path; null when there is none.
+  /// @brief Returns the route of this host with the longest matching prefix; null if there is none.
   /// @param host May carry a port, which is ignored; letter case is ignored too.
   /// @param target Path of the request; a query is ignored.
   const Route* Find(std::string_view host, std::string_view target) const;
 
-  /// @brief The service of this name; null when there is none.
+  /// @brief Returns the service with this name; null when there is none.
   const ServiceSpec* Service(std::string_view name) const;
 
   std::uint64_t Version() const { return version_; }
@@ -150,10 +150,10 @@
 /// @ingroup routes
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
-/// @brief The service of a route that a draw falls on, by weight.
-/// @param draw Any evenly distributed number.
+/// @brief Chooses a service of a route in proportion to the weights.
+/// @param random A uniformly distributed number.
 /// @ingroup routes
-const std::string& ChooseService(const Route& route, std::uint64_t draw);
+const std::string& ChooseService(const Route& route, std::uint64_t random);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/settings/settings.hpp
+++ b/include/rudderloom/settings/settings.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// What one process is told at its start: its name, its addresses, its limits.
+/// Settings of one entry node process: name, addresses, limits and timeouts.
 #ifndef RUDDERLOOM_SETTINGS_SETTINGS_HPP
 #define RUDDERLOOM_SETTINGS_SETTINGS_HPP
 
@@ -12,14 +12,14 @@
 
 namespace rudderloom {
 
-/// @brief An IP number and a port; port 0 (the key left out) takes one from the kernel.
+/// @brief An IP address and a port; with port 0 (the key is absent) the kernel chooses one.
 /// @ingroup settings
 struct ListenerSettings {
   std::string address = "127.0.0.1";
   std::uint16_t port = 0;
 };
 
-/// @brief Bounds towards callers.
+/// @brief Limits on callers' connections and requests.
 /// @ingroup settings
 struct LimitSettings {
   std::uint64_t header = 16 * 1024;
@@ -31,7 +31,7 @@
   std::uint32_t queue = 512;  ///< Requests that may wait for an endpoint.
 };
 
-/// @brief How long the platform's answers are waited for, and how it is spared.
+/// @brief Timeouts and retry backoff of calls to the platform.
 /// @ingroup settings
 struct PlatformSettings {
   std::string address;
@@ -41,7 +41,7 @@
   Duration backoff_most{10'000};
 };
 
-/// @brief Retries as a share of traffic.
+/// @brief Limits on retries.
 /// @ingroup settings
 struct RetrySettings {
   double budget = 0.2;  ///< Retries allowed for each first attempt.
@@ -49,25 +49,25 @@
   Duration backoff{25};
 };
 
-/// @brief How long requests may take when they don't say.
+/// @brief Default and maximum request deadlines, and timeouts within a request.
 /// @ingroup settings
 struct DeadlineSettings {
   Duration usual{30'000};
   Duration longest{600'000};
-  Duration between_tokens{5'000};  ///< A stream silent for longer is taken as broken.
-  Duration resume{10'000};         ///< A broken stream has this long to go on elsewhere.
+  Duration between_tokens{5'000};  ///< A stream that is silent for longer is considered broken.
+  Duration resume{10'000};         ///< Time for a broken stream to resume on another endpoint.
   Duration connect{500};
 };
 
-/// @brief Heartbeats between entry nodes, and when a silent one counts as gone.
+/// @brief Heartbeats between entry nodes, and when a silent one is considered down.
 /// @ingroup settings
 struct MembershipSettings {
   Duration heartbeat{500};
   Duration silent_after{2'500};
-  std::int64_t full_mesh = 8;          ///< Up to so many peers, each round calls all of them.
-  std::int64_t fanout = 2;             ///< Peers that a round calls where there are more.
-  std::int64_t polls_per_second = 20;  ///< Load reports asked for, over all endpoints.
-  Duration unconfirmed_limit{5'000};   ///< Alone for longer: no new work is taken.
+  std::int64_t full_mesh = 8;  ///< With at most this many peers, each round calls all of them.
+  std::int64_t fanout = 2;     ///< Peers called in each round when there are more.
+  std::int64_t polls_per_second = 20;  ///< Load reports requested, over all endpoints.
+  Duration unconfirmed_limit{5'000};   ///< A node isolated for longer accepts no new work.
 };
 
 /// @brief Leases on pools, and orders to endpoints.
@@ -75,23 +75,23 @@
 struct ResidencySettings {
   Duration lease{6'000};
   Duration renew{2'000};
-  Duration order_time{30'000};        ///< For an endpoint to answer an order.
-  Duration late_order_bound{60'000};  ///< The longest an unanswered order may still take effect.
+  Duration order_time{30'000};        ///< Time for an endpoint to answer an order.
+  Duration late_order_bound{60'000};  ///< Longest delay until an unanswered order takes effect.
   std::int64_t loads_at_once = 8;
   double loads_per_second = 2.0;
   Duration plan_every{500};
 };
 
-/// @brief At-most-once records of calls with an Idempotency-Key.
+/// @brief At-most-once records of calls that have an Idempotency-Key.
 /// @ingroup settings
 struct ClaimSettings {
   std::int64_t shards = 16;
   Duration batch{20};
   Duration retention{3'600'000};
-  std::uint64_t answer_bytes = 2048;  ///< Larger answers are recorded by status only.
+  std::uint64_t answer_bytes = 2048;  ///< Of larger responses only the status is recorded.
 };
 
-/// @brief The whole settings file.
+/// @brief Contents of the settings file.
 /// @ingroup settings
 struct Settings {
   std::string name;
@@ -105,15 +105,15 @@
   MembershipSettings membership;
   ResidencySettings residency;
   ClaimSettings claims;
-  Duration stop_notice{1'000};  ///< Time for the balancer to see that the node is not ready.
-  Duration stop_time{30'000};   ///< Time for requests in flight to end at a planned stop.
+  Duration stop_notice{1'000};  ///< Time for the load balancer to see that the node is not ready.
+  Duration stop_time{30'000};   ///< Time for requests in flight to finish at a graceful stop.
 };
 
-/// @brief Reads and checks settings; all mistakes are given, each with its JSON path.
+/// @brief Parses and validates settings; returns all errors, each with its JSON path.
 /// @ingroup settings
 std::variant<Settings, JsonErrors> ParseSettings(std::string_view text);
 
-/// @brief Reads a whole file; a file that can't be read is one mistake at its path.
+/// @brief Reads a file; an unreadable file is reported as one error at its path.
 /// @ingroup settings
 std::variant<std::string, JsonErrors> ReadFile(const std::string& path);
 
--- a/include/rudderloom/telemetry/metrics.hpp
+++ b/include/rudderloom/telemetry/metrics.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Counters, gauges and Boost.Histogram latencies, shown as Prometheus text.
+/// Counters, gauges and Boost.Histogram latency histograms, exported as Prometheus text.
 #ifndef RUDDERLOOM_TELEMETRY_METRICS_HPP
 #define RUDDERLOOM_TELEMETRY_METRICS_HPP
 
@@ -10,7 +10,7 @@
 
 namespace rudderloom {
 
-/// @brief Name and, where there is one, label of a series.
+/// @brief Name and optional label of a time series.
 /// @ingroup telemetry
 struct Series {
   std::string_view name;        ///< For example `rudderloom_refusals_total`.
@@ -18,7 +18,7 @@
   std::string_view value = {};  ///< For example `queue_full`.
 };
 
-/// @brief All series of one process. Every method may be called from any thread.
+/// @brief All metrics of one process. Thread-safe.
 /// @ingroup telemetry
 class Metrics {
  public:
@@ -27,7 +27,7 @@
   Metrics& operator=(const Metrics&) = delete;
   ~Metrics();
 
-  /// @brief Adds to a counter; the first call makes it.
+  /// @brief Adds to a counter, which the first call creates.
   void Count(const Series& series, std::uint64_t by = 1);
 
   /// @brief Sets a gauge.
@@ -36,10 +36,11 @@
   /// @brief Adds one observation, in seconds, to a latency histogram (0.1 ms to 1,000 s).
   void Observe(const Series& series, double seconds);
 
-  /// @brief The present value of a counter; 0 when it was never counted.
+  /// @brief Returns the current value of a counter; 0 when it does not exist.
   std::uint64_t Value(const Series& series) const;
 
-  /// @brief Prometheus text exposition format, sorted by name.
+  /// @brief Returns all metrics in Prometheus text exposition format; counters, gauges and
+  /// histograms are each sorted by name.
   std::string Text() const;
 
  private:
--- a/src/rudderloom/routes/caller_test.cpp
+++ b/src/rudderloom/routes/caller_test.cpp
@@ -16,26 +16,26 @@
   return {1, {}, {}, {}, {need_keys, std::move(customers)}};
 }
 
-TEST_CASE("a route asks for a key unless it is public or there are no customers") {
+TEST_CASE("a key is required unless the route is public or the table requires none") {
   const RouteTable table = MakeTable(true, {MakeCustomer("a", "k1")});
-  const RouteTable open = MakeTable(false, {});
+  const RouteTable keyless_table = MakeTable(false, {});
   Route route;
-  Route shown;
-  shown.is_public = true;
+  Route public_route;
+  public_route.is_public = true;
   CHECK(IdentifyCaller(table, route, DigestOf("k1")).customer->name == "a");
   CHECK(IdentifyCaller(table, route, DigestOf("k2")).standing == CallerStanding::kUnknown);
   CHECK(IdentifyCaller(table, route, std::nullopt).standing == CallerStanding::kUnknown);
-  CHECK(IdentifyCaller(table, shown, std::nullopt).standing == CallerStanding::kAnybody);
-  CHECK(IdentifyCaller(table, shown, DigestOf("k1")).customer == nullptr);
-  CHECK(IdentifyCaller(open, route, DigestOf("k1")).standing == CallerStanding::kAnybody);
+  CHECK(IdentifyCaller(table, public_route, std::nullopt).standing == CallerStanding::kAnybody);
+  CHECK(IdentifyCaller(table, public_route, DigestOf("k1")).customer == nullptr);
+  CHECK(IdentifyCaller(keyless_table, route, DigestOf("k1")).standing == CallerStanding::kAnybody);
 }
 
-TEST_CASE("customers that are all gone leave routes that ask for keys closed") {
+TEST_CASE("without customers, no key is accepted on a route that requires one") {
   const RouteTable table = MakeTable(true, {});
   CHECK(IdentifyCaller(table, Route(), DigestOf("k1")).standing == CallerStanding::kUnknown);
 }
 
-TEST_CASE("a customer's rank comes before its route's") {
+TEST_CASE("a customer's priority overrides its route's priority") {
   Customer customer = MakeCustomer("a", "k1");
   Route route;
   route.priority = 2;
--- a/src/rudderloom/routes/route_table.cpp
+++ b/src/rudderloom/routes/route_table.cpp
@@ -8,18 +8,18 @@
 
 namespace {
 
-// The host in lower case, without a port.
-std::string PlainHost(std::string_view host) {
-  std::string plain(host.substr(0, host.find(':')));
-  for (char& c : plain) {
+// Returns the host in lower case, without a port.
+std::string NormalizeHost(std::string_view host) {
+  std::string normalized(host.substr(0, host.find(':')));
+  for (char& c : normalized) {
     c = static_cast<char>(std::tolower(static_cast<unsigned char>(c)));
   }
-  return plain;
+  return normalized;
 }
 
-// Prefixes begin with a slash and hosts hold none, so the two can stand in one key.
+// Prefixes begin with a slash and hosts contain none, so the concatenation is unambiguous.
 std::string KeyOf(std::string_view host, std::string_view prefix) {
-  return PlainHost(host) + std::string(prefix);
+  return NormalizeHost(host) + std::string(prefix);
 }
 
 }  // namespace
@@ -52,7 +52,8 @@
   const std::string_view path = target.substr(0, target.find_first_of("?#"));
   std::string key = KeyOf(host, path);
   const std::size_t host_length = key.size() - path.size();
-  // Prefixes end with a slash: the longest one ends at the last slash of the path, or before.
+  // Prefixes end with a slash, so the longest match ends at the last slash of the path or at an
+  // earlier one.
   for (std::size_t slash = key.rfind('/'); slash != std::string::npos && slash >= host_length;
        slash = key.rfind('/')) {
     key.resize(slash + 1);
@@ -70,17 +71,17 @@
   return found == services_.end() ? nullptr : &found->second;
 }
 
-const std::string& ChooseService(const Route& route, std::uint64_t draw) {
+const std::string& ChooseService(const Route& route, std::uint64_t random) {
   std::uint64_t total = 0;
   for (const ServiceShare& share : route.shares) {
     total += share.weight;
   }
-  std::uint64_t left = total == 0 ? 0 : draw % total;
+  std::uint64_t remainder = total == 0 ? 0 : random % total;
   for (const ServiceShare& share : route.shares) {
-    if (left < share.weight) {
+    if (remainder < share.weight) {
       return share.service;
     }
-    left -= share.weight;
+    remainder -= share.weight;
   }
   return route.shares.front().service;
 }
--- a/src/rudderloom/routes/route_table_test.cpp
+++ b/src/rudderloom/routes/route_table_test.cpp
@@ -19,7 +19,7 @@
                                             ClientLimits{});
 }
 
-TEST_CASE("the longest prefix of the request's host wins") {
+TEST_CASE("Find returns the route of the host with the longest matching prefix") {
   const auto table = MakeTable(1, {MakeRoute("a.example", "/x/"), MakeRoute("a.example", "/x/y/"),
                                    MakeRoute("b.example", "/")});
   CHECK(table->Find("a.example", "/x/y/z")->prefix == "/x/y/");
@@ -31,12 +31,12 @@
   CHECK(table->Find("", "") == nullptr);
 }
 
-TEST_CASE("a split follows its weights") {
+TEST_CASE("ChooseService distributes requests by weight") {
   Route route = MakeRoute("a.example", "/");
   route.shares = {{"first", 9}, {"second", 1}, {"never", 0}};
   int second = 0;
-  for (std::uint64_t draw = 0; draw < 100; ++draw) {
-    const std::string& service = ChooseService(route, draw);
+  for (std::uint64_t random = 0; random < 100; ++random) {
+    const std::string& service = ChooseService(route, random);
     CHECK(service != "never");
     second += service == "second" ? 1 : 0;
   }
--- a/src/rudderloom/settings/settings.cpp
+++ b/src/rudderloom/settings/settings.cpp
@@ -8,14 +8,14 @@
 
 namespace {
 
-constexpr std::int64_t kLargestPort = 65535;
-constexpr std::int64_t kMostConnections = 1'000'000;
+constexpr std::int64_t kMaxPort = 65535;
+constexpr std::int64_t kMaxConnections = 1'000'000;
 
 void CheckIp(ObjectReader& reader, std::string_view key, const std::string& ip) {
   boost::system::error_code error;
   boost::asio::ip::make_address(ip, error);
   if (error) {
-    reader.Fail(key, "\"" + ip + "\" is not an IP number");
+    reader.Fail(key, "\"" + ip + "\" is not an IP address");
   }
 }
 
@@ -23,21 +23,22 @@
   ListenerSettings listener;
   listener.address = reader.String("address", listener.address);
   CheckIp(reader, "address", listener.address);
-  // Absent means that the kernel chooses; 0 is never written out.
-  listener.port = static_cast<std::uint16_t>(reader.Integer("port", 1, kLargestPort, 0));
+  // Without the key the kernel chooses the port; an explicit 0 is rejected.
+  listener.port = static_cast<std::uint16_t>(reader.Integer("port", 1, kMaxPort, 0));
   return listener;
 }
 
-// An IP number and a port in one string, as other processes are named.
+// Checks the address of another process: an IP address and a port in one string.
 void CheckAddress(ObjectReader& reader, std::string_view key, const std::string& address) {
   const std::size_t colon = address.rfind(':');
   boost::system::error_code error;
   boost::asio::ip::make_address(address.substr(0, colon), error);
   const std::string port = colon == std::string::npos ? "" : address.substr(colon + 1);
-  const bool digits = !port.empty() && port.find_first_not_of("0123456789") == std::string::npos;
-  if (error || !digits || port.size() > 5 || std::stol(port) < 1 ||
-      std::stol(port) > kLargestPort) {
-    reader.Fail(key, "\"" + address + "\" is not an IP number and port such as 10.0.0.1:8080");
+  const bool only_digits =
+      !port.empty() && port.find_first_not_of("0123456789") == std::string::npos;
+  if (error || !only_digits || port.size() > 5 || std::stol(port) < 1 ||
+      std::stol(port) > kMaxPort) {
+    reader.Fail(key, "\"" + address + "\" is not an IP address and port such as 10.0.0.1:8080");
   }
 }
 
@@ -59,9 +60,9 @@
   limits.idle_time = reader.Time("idle_time", limits.idle_time);
   limits.write_time = reader.Time("write_time", limits.write_time);
   limits.connections = static_cast<std::uint32_t>(
-      reader.Integer("connections", 1, kMostConnections, limits.connections));
+      reader.Integer("connections", 1, kMaxConnections, limits.connections));
   limits.queue =
-      static_cast<std::uint32_t>(reader.Integer("queue", 0, kMostConnections, limits.queue));
+      static_cast<std::uint32_t>(reader.Integer("queue", 0, kMaxConnections, limits.queue));
 }
 
 void ReadRetries(ObjectReader& reader, RetrySettings& retries) {
--- a/src/rudderloom/settings/settings_test.cpp
+++ b/src/rudderloom/settings/settings_test.cpp
@@ -4,7 +4,7 @@
 
 namespace rudderloom {
 
-TEST_CASE("a small settings file takes the defaults") {
+TEST_CASE("absent keys take their default values") {
   const auto parsed = ParseSettings(
       R"({"node": {"name": "entry-1", "availability_zone": "kochi-hall"},
           "platform": {"address": "127.0.0.1:8070"}})");
@@ -15,7 +15,7 @@
   CHECK(settings.limits.body == 4 * 1024 * 1024);
 }
 
-TEST_CASE("three mistakes are three errors, each with its path") {
+TEST_CASE("each invalid value is reported with its JSON path") {
   const auto parsed = ParseSettings(
       R"({"node": {"name": "entry-1", "availability_zone": "kochi-hall"},
           "listeners": {"callers": {"port": 70000}},
@@ -29,7 +29,7 @@
   CHECK(errors[2].path == "/limits/idle_time");
 }
 
-TEST_CASE("settings that contradict each other are refused") {
+TEST_CASE("contradictory settings are rejected") {
   const auto parsed = ParseSettings(
       R"({"node": {"name": "entry-1", "availability_zone": "kochi-hall"},
           "platform": {"address": "127.0.0.1:8070"},
--- a/src/rudderloom/telemetry/metrics.cpp
+++ b/src/rudderloom/telemetry/metrics.cpp
@@ -13,19 +13,19 @@
 namespace bh = boost::histogram;
 
 constexpr unsigned kBins = 28;
-constexpr double kLeastSeconds = 0.0001;
-constexpr double kMostSeconds = 1000.0;
+constexpr double kMinSeconds = 0.0001;
+constexpr double kMaxSeconds = 1000.0;
 
 using LogAxis = bh::axis::regular<double, bh::axis::transform::log>;
-using Latencies = decltype(bh::make_histogram(LogAxis(kBins, kLeastSeconds, kMostSeconds)));
+using Latencies = decltype(bh::make_histogram(LogAxis(kBins, kMinSeconds, kMaxSeconds)));
 
 struct Histogram {
-  Latencies latencies = bh::make_histogram(LogAxis(kBins, kLeastSeconds, kMostSeconds));
+  Latencies latencies = bh::make_histogram(LogAxis(kBins, kMinSeconds, kMaxSeconds));
   double sum = 0.0;
   std::uint64_t count = 0;
 };
 
-// The name first, so that all series of one name stand together.
+// Name and labels. The name comes first, so that all series of one metric are adjacent.
 using Key = std::pair<std::string, std::string>;
 
 Key KeyOf(const Series& series) {
@@ -36,33 +36,33 @@
   return {std::string(series.name), labels};
 }
 
-std::string Braced(const std::string& labels) {
+std::string InBraces(const std::string& labels) {
   return labels.empty() ? "" : "{" + labels + "}";
 }
 
 template <class Map>
 void WriteValues(std::ostringstream& out, const Map& values, const char* type) {
-  std::string last;
+  std::string previous_name;
   for (const auto& [key, value] : values) {
-    if (key.first != last) {
+    if (key.first != previous_name) {
       out << "# TYPE " << key.first << ' ' << type << '\n';
-      last = key.first;
+      previous_name = key.first;
     }
-    out << key.first << Braced(key.second) << ' ' << value << '\n';
+    out << key.first << InBraces(key.second) << ' ' << value << '\n';
   }
 }
 
 void WriteHistogram(std::ostringstream& out, const Key& key, const Histogram& histogram) {
   const std::string prefix = key.second.empty() ? "" : key.second + ",";
-  double below = histogram.latencies.at(-1);
+  double cumulative = histogram.latencies.at(-1);
   for (int i = 0; i < static_cast<int>(kBins); ++i) {
-    below += histogram.latencies.at(i);
+    cumulative += histogram.latencies.at(i);
     const double upper = histogram.latencies.axis().bin(i).upper();
-    out << key.first << "_bucket{" << prefix << "le=\"" << upper << "\"} " << below << '\n';
+    out << key.first << "_bucket{" << prefix << "le=\"" << upper << "\"} " << cumulative << '\n';
   }
   out << key.first << "_bucket{" << prefix << "le=\"+Inf\"} " << histogram.count << '\n';
-  out << key.first << "_sum" << Braced(key.second) << ' ' << histogram.sum << '\n';
-  out << key.first << "_count" << Braced(key.second) << ' ' << histogram.count << '\n';
+  out << key.first << "_sum" << InBraces(key.second) << ' ' << histogram.sum << '\n';
+  out << key.first << "_count" << InBraces(key.second) << ' ' << histogram.count << '\n';
 }
 
 }  // namespace
@@ -107,11 +107,11 @@
   std::ostringstream out;
   WriteValues(out, impl_->counters, "counter");
   WriteValues(out, impl_->gauges, "gauge");
-  std::string last;
+  std::string previous_name;
   for (const auto& [key, histogram] : impl_->histograms) {
-    if (key.first != last) {
+    if (key.first != previous_name) {
       out << "# TYPE " << key.first << " histogram\n";
-      last = key.first;
+      previous_name = key.first;
     }
     WriteHistogram(out, key, histogram);
   }
