--- a/include/rudderloom/base/address.hpp
+++ b/include/rudderloom/base/address.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses as text: an IP number and a port.
+/// Network addresses as text: an IP address and a port.
 #ifndef RUDDERLOOM_BASE_ADDRESS_HPP
 #define RUDDERLOOM_BASE_ADDRESS_HPP
 
@@ -7,7 +7,7 @@
 
 namespace rudderloom {
 
-/// @brief True for an IP number and a port, such as `10.0.0.1:8080`. Names are not looked up.
+/// @brief True for an IP address and a port, such as `10.0.0.1:8080`. Host names are not resolved.
 /// @ingroup base
 bool IsAddress(const std::string& text);
 
--- a/include/rudderloom/base/backoff.hpp
+++ b/include/rudderloom/base/backoff.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Jittered exponential backoff, so that many processes don't come back at one moment.
+/// Jittered exponential backoff, so that many processes do not retry at the same moment.
 #ifndef RUDDERLOOM_BASE_BACKOFF_HPP
 #define RUDDERLOOM_BASE_BACKOFF_HPP
 
@@ -10,27 +10,27 @@
 
 namespace rudderloom {
 
-/// @brief Gives ever longer pauses, each drawn evenly from half to the whole of its step.
+/// @brief Generates growing pauses, each drawn uniformly from half to the whole of its step.
 /// @ingroup base
 class Backoff {
  public:
-  Backoff(Duration least, Duration most, std::uint64_t seed)
-      : least_(least), most_(most), step_(least), random_(seed) {}
+  Backoff(Duration min, Duration max, std::uint64_t seed)
+      : min_(min), max_(max), step_(min), random_(seed) {}
 
-  /// @brief The next pause.
+  /// @brief Returns the next pause and doubles the step, up to the maximum.
   Duration Next() {
-    std::uniform_int_distribution<Duration::rep> spread(step_.count() / 2, step_.count());
-    const Duration pause(spread(random_));
-    step_ = std::min(most_, step_ * 2);
+    std::uniform_int_distribution<Duration::rep> distribution(step_.count() / 2, step_.count());
+    const Duration pause(distribution(random_));
+    step_ = std::min(max_, step_ * 2);
     return pause;
   }
 
-  /// @brief Starts again at the shortest pause, after a success.
-  void Reset() { step_ = least_; }
+  /// @brief Returns to the shortest step; called after a success.
+  void Reset() { step_ = min_; }
 
  private:
-  Duration least_;
-  Duration most_;
+  Duration min_;
+  Duration max_;
   Duration step_;
   std::mt19937_64 random_;
 };
--- a/include/rudderloom/base/change_log.hpp
+++ b/include/rudderloom/base/change_log.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Values by key with the version of each change, for readers that lack only some of them.
+/// Key-value map that records the version of each change, for incremental replication.
 #ifndef RUDDERLOOM_BASE_CHANGE_LOG_HPP
 #define RUDDERLOOM_BASE_CHANGE_LOG_HPP
 
@@ -13,57 +13,58 @@
 
 namespace rudderloom {
 
-/// @brief What changed since some version.
+/// @brief The changes since a version.
 /// @ingroup base
 template <class Value, class VersionType = std::uint64_t>
 struct Changes {
-  VersionType version{};                              ///< Everything up to it is told or known.
-  bool whole = false;                                 ///< The values are all that there are.
-  std::vector<std::pair<std::string, Value>> values;  ///< New or changed ones.
-  std::vector<std::string> gone;                      ///< Keys that are there no more.
+  VersionType version{};  ///< All changes up to it are included or already known.
+  bool whole = false;     ///< `values` is the complete set, not a difference.
+  std::vector<std::pair<std::string, Value>> values;  ///< New or changed values.
+  std::vector<std::string> gone;                      ///< Keys that were removed.
   bool operator==(const Changes&) const = default;
 };
 
-/// @brief Keeps the newest value of each key, and for a while which keys went. Pure.
+/// @brief Keeps the latest value of each key and a bounded number of removed keys. Performs no I/O.
 ///
-/// Versions only rise, and two logs of the same source can be compared by theirs. A change counts
-/// as being of the version up to which its source reaches when it is told: never of an older one
-/// than its own.
+/// Versions only increase, and logs of the same source can be compared by version. A change is
+/// assigned the version that its source reports as reached after it, which is never older than the
+/// version of the change itself.
 /// @ingroup base
 template <class Value, class VersionType = std::uint64_t>
 class ChangeLog {
  public:
-  /// @brief Takes one change; which version it is of is told by `Reached`.
+  /// @brief Applies one change, which gets its version at the next `Reached`.
   void Put(const std::string& key, const Value& value) {
     const auto [found, added] = entries_.try_emplace(key);
     if (!added && found->second.value == value) {
       return;
     }
     found->second = {value, std::nullopt};
-    gone_.erase(key);
+    removed_.erase(key);
   }
 
   void Erase(const std::string& key) {
     if (entries_.erase(key) > 0) {
-      gone_[key] = std::nullopt;
+      removed_[key] = std::nullopt;
     }
   }
 
-  /// @brief Takes all values as of a version. What came and went since the last one isn't known.
+  /// @brief Replaces all values by those of a version. Keys added and removed in between are
+  /// unknown.
   void Replace(const std::map<std::string, Value>& values, const VersionType& version) {
     Update(values, version);
-    gone_.clear();
+    removed_.clear();
     complete_since_ = version_;
   }
 
-  /// @brief Takes all values as of a version, with nothing that came and went since the last one.
+  /// @brief Like Replace, when no key was both added and removed since the last version.
   void Update(const std::map<std::string, Value>& values, const VersionType& version) {
     for (auto entry = entries_.begin(); entry != entries_.end();) {
       if (values.contains(entry->first)) {
         ++entry;
         continue;
       }
-      gone_[entry->first] = std::nullopt;
+      removed_[entry->first] = std::nullopt;
       entry = entries_.erase(entry);
     }
     for (const auto& [key, value] : values) {
@@ -72,19 +73,20 @@
     Reached(version);
   }
 
-  /// @brief All changes up to this version have been taken.
+  /// @brief Declares that all changes up to this version have been applied.
   void Reached(const VersionType& version) {
     version_ = std::max(version_, version);
     for (auto& [key, entry] : entries_) {
       entry.changed = entry.changed.value_or(version_);
     }
-    for (auto& [key, changed] : gone_) {
+    for (auto& [key, changed] : removed_) {
       changed = changed.value_or(version_);
     }
-    ForgetOldest();
+    TrimRemoved();
   }
 
-  /// @brief Takes what another log of the same source told; false when this one is not older.
+  /// @brief Applies another log's changes; false when this log is not older. Both must share a
+  /// source.
   bool Apply(const Changes<Value, VersionType>& changes) {
     if (changes.version <= version_) {
       return false;
@@ -103,10 +105,10 @@
     return true;
   }
 
-  /// @brief The version up to which the values are known; its default before the first ones.
+  /// @brief The version up to which the values are known; default-constructed before the first.
   const VersionType& Version() const { return version_; }
 
-  /// @brief What a log at version `seen` lacks.
+  /// @brief Returns the changes that a log at version `seen` is missing.
   Changes<Value, VersionType> Since(const VersionType& seen) const {
     Changes<Value, VersionType> changes;
     changes.version = version_;
@@ -119,7 +121,7 @@
         changes.values.emplace_back(key, entry.value);
       }
     }
-    for (const auto& [key, changed] : gone_) {
+    for (const auto& [key, changed] : removed_) {
       if (!changes.whole && IsAfter(changed, seen)) {
         changes.gone.push_back(key);
       }
@@ -127,13 +129,13 @@
     return changes;
   }
 
-  /// @brief The value of a key; null when there is none.
+  /// @brief Returns the value of a key; null when there is none.
   const Value* Find(const std::string& key) const {
     const auto found = entries_.find(key);
     return found == entries_.end() ? nullptr : &found->second.value;
   }
 
-  /// @brief All values, by key.
+  /// @brief Returns all values, ordered by key.
   std::vector<Value> Values() const {
     std::vector<Value> values;
     values.reserve(entries_.size());
@@ -146,33 +148,33 @@
   std::size_t Size() const { return entries_.size(); }
 
  private:
-  // Empty for a change whose version is not told yet: it is newer than any.
-  using Changed = std::optional<VersionType>;
-  static constexpr std::size_t kGoneKept = 256;
+  // Empty while the version of a change is unknown: it counts as newer than any version.
+  using ChangeVersion = std::optional<VersionType>;
+  static constexpr std::size_t kMaxRemovedKept = 256;
 
   struct Entry {
     Value value;
-    Changed changed;
+    ChangeVersion changed;
   };
 
-  static bool IsAfter(const Changed& changed, const VersionType& seen) {
+  static bool IsAfter(const ChangeVersion& changed, const VersionType& seen) {
     return !changed || *changed > seen;
   }
 
-  void ForgetOldest() {
-    while (gone_.size() > kGoneKept) {
+  void TrimRemoved() {
+    while (removed_.size() > kMaxRemovedKept) {
       const auto oldest = std::min_element(
-          gone_.begin(), gone_.end(),
+          removed_.begin(), removed_.end(),
           [](const auto& left, const auto& right) { return left.second < right.second; });
       complete_since_ = std::max(complete_since_, oldest->second.value_or(version_));
-      gone_.erase(oldest);
+      removed_.erase(oldest);
     }
   }
 
   std::map<std::string, Entry> entries_;
-  std::map<std::string, Changed> gone_;  // when each went
+  std::map<std::string, ChangeVersion> removed_;  // the version of each removal
   VersionType version_{};
-  VersionType complete_since_{};  // what went before is not remembered
+  VersionType complete_since_{};  // removals before it are no longer recorded
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/base/hex.hpp
+++ b/include/rudderloom/base/hex.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Bytes as text, two digits each.
+/// Hexadecimal encoding of bytes.
 #ifndef RUDDERLOOM_BASE_HEX_HPP
 #define RUDDERLOOM_BASE_HEX_HPP
 
@@ -10,11 +10,12 @@
 
 namespace rudderloom {
 
-/// @brief Two hexadecimal digits for each byte.
+/// @brief Encodes each byte as two lower-case hexadecimal digits.
 /// @ingroup base
 std::string ToHex(std::span<const std::uint8_t> bytes);
 
-/// @brief Reads what ToHex() wrote; false when the text is not as long as `bytes` asks, or no hex.
+/// @brief Decodes the output of ToHex(); false when the length does not match `bytes` or the text
+/// is not hexadecimal.
 /// @ingroup base
 bool FromHex(std::string_view text, std::span<std::uint8_t> bytes);
 
--- a/include/rudderloom/base/json_fields.hpp
+++ b/include/rudderloom/base/json_fields.hpp
@@ -1,6 +1,6 @@
 /// @file
-/// Lenient reading of JSON that other processes wrote: what is absent or odd reads as empty.
-/// For settings and declarations, which must be checked, see json_reader.hpp.
+/// Lenient access to JSON written by other processes: absent or invalid members read as empty.
+/// Settings and declarations must be validated; json_reader.hpp does that.
 #ifndef RUDDERLOOM_BASE_JSON_FIELDS_HPP
 #define RUDDERLOOM_BASE_JSON_FIELDS_HPP
 
@@ -11,14 +11,14 @@
 
 namespace rudderloom {
 
-/// @brief A string member; empty when there is none.
+/// @brief Returns a string member; empty when it is absent or not a string.
 /// @ingroup base
 inline std::string TextAt(const boost::json::object& object, std::string_view key) {
   const boost::json::value* found = object.if_contains({key.data(), key.size()});
   return found != nullptr && found->is_string() ? std::string(found->as_string()) : "";
 }
 
-/// @brief A whole number member that is not negative; 0 when there is none.
+/// @brief Returns a non-negative integer member; 0 when it is absent or invalid.
 /// @ingroup base
 inline std::uint64_t NumberAt(const boost::json::object& object, std::string_view key) {
   const boost::json::value* found = object.if_contains({key.data(), key.size()});
@@ -30,7 +30,7 @@
   return error ? 0 : number;
 }
 
-/// @brief A true or false member; false when there is none.
+/// @brief Returns a boolean member; false when it is absent or not a boolean.
 /// @ingroup base
 inline bool FlagAt(const boost::json::object& object, std::string_view key) {
   const boost::json::value* found = object.if_contains({key.data(), key.size()});
--- a/include/rudderloom/base/json_reader.hpp
+++ b/include/rudderloom/base/json_reader.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Checked reading of JSON: every mistake is kept with its JSON path, none stops the reading.
+/// Validating JSON reader: collects every error with its JSON path and continues reading.
 #ifndef RUDDERLOOM_BASE_JSON_READER_HPP
 #define RUDDERLOOM_BASE_JSON_READER_HPP
 
@@ -17,7 +17,7 @@
 
 namespace rudderloom {
 
-/// @brief One mistake in a JSON document.
+/// @brief An error in a JSON document.
 /// @ingroup base
 struct JsonError {
   std::string path;  ///< JSON path, for example `/listeners/callers/port`; may carry a file name.
@@ -28,25 +28,25 @@
   bool operator==(const JsonError&) const = default;
 };
 
-/// @brief All mistakes of one document, in reading order.
+/// @brief All errors of one document, in reading order.
 /// @ingroup base
 using JsonErrors = std::vector<JsonError>;
 
-/// @brief Parses text as a JSON object; a syntax mistake becomes one JsonError at `path`.
+/// @brief Parses text as a JSON object; a syntax error becomes one JsonError at `path`.
 /// @ingroup base
 std::variant<boost::json::object, JsonErrors> ParseJsonObject(std::string_view text,
                                                               const std::string& path);
 
-/// @brief Parses `"250ms"`, `"2.5s"`, `"10m"` or `"2h"`; empty when the unit or number is wrong.
+/// @brief Parses `"250ms"`, `"2.5s"`, `"10m"` or `"2h"`; empty when the unit or number is invalid.
 /// @ingroup base
 std::optional<Duration> ParseDuration(std::string_view text);
 
-/// @brief Parses `"512B"`, `"64KiB"`, `"8MiB"` or `"14GiB"` into bytes.
+/// @brief Parses `"512B"`, `"64KiB"`, `"8MiB"` or `"14GiB"` into bytes; empty when invalid.
 /// @ingroup base
 std::optional<std::uint64_t> ParseSize(std::string_view text);
 
-/// @brief Reads the members of one JSON object and reports unknown members when finished.
-/// A member that is absent takes the given default; without a default it is an error.
+/// @brief Reads the members of one JSON object; `Finish` reports the unknown ones.
+/// An absent member takes the given default; without a default it is an error.
 /// @ingroup base
 class ObjectReader {
  public:
@@ -54,10 +54,10 @@
 
   std::string String(std::string_view key, const std::optional<std::string>& fallback = {});
   std::int64_t Integer(std::string_view key,
-                       std::int64_t least,
-                       std::int64_t most,
+                       std::int64_t min,
+                       std::int64_t max,
                        std::optional<std::int64_t> fallback = {});
-  double Number(std::string_view key, double least, double most, std::optional<double> fallback);
+  double Number(std::string_view key, double min, double max, std::optional<double> fallback);
   bool Boolean(std::string_view key, bool fallback);
   Duration Time(std::string_view key, std::optional<Duration> fallback = {});
   std::uint64_t Size(std::string_view key, std::optional<std::uint64_t> fallback = {});
@@ -69,10 +69,10 @@
   /// @brief Reads an array of objects; an absent one is empty.
   void Objects(std::string_view key, const std::function<void(ObjectReader&)>& read);
 
-  /// @brief Adds a mistake at the member `key`.
+  /// @brief Adds an error for the member `key`.
   void Fail(std::string_view key, std::string message);
 
-  /// @brief Reports each member that was never asked for. Nested objects do this by themselves.
+  /// @brief Reports every member that was never read. Called automatically for nested objects.
   void Finish();
 
   /// @brief JSON path of this object.
@@ -84,7 +84,7 @@
   const boost::json::object& object_;
   std::string path_;
   JsonErrors& errors_;
-  std::set<std::string, std::less<>> known_;
+  std::set<std::string, std::less<>> requested_keys_;
 };
 
 }  // namespace rudderloom
--- a/include/rudderloom/base/log_line.hpp
+++ b/include/rudderloom/base/log_line.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One log line of key=value pairs for each event, written through glog.
+/// Structured logging: one line of key=value pairs per event, written through glog.
 #ifndef RUDDERLOOM_BASE_LOG_LINE_HPP
 #define RUDDERLOOM_BASE_LOG_LINE_HPP
 
@@ -10,12 +10,13 @@
 
 namespace rudderloom {
 
-/// @brief How much attention a log line asks for.
+/// @brief Severity of a log line.
 /// @ingroup base
 enum class Severity { kInfo, kWarning, kError };
 
-/// @brief Collects the pairs of one event and writes them when it goes out of scope.
-/// Values with blanks, quotes or equals signs are quoted. Never pass prompt text or secrets.
+/// @brief Collects the key=value pairs of one event and writes them on destruction.
+/// Empty values and those with whitespace, quotes, equals signs or backslashes are quoted.
+/// Never pass prompt text or secrets.
 /// @ingroup base
 class LogLine {
  public:
@@ -27,7 +28,7 @@
   /// @brief Adds one pair.
   LogLine& With(std::string_view key, std::string_view value);
 
-  /// @brief Adds one pair with a whole number.
+  /// @brief Adds one pair with an integer value.
   template <class Number>
   requires std::is_integral_v<Number> LogLine& With(std::string_view key, Number value) {
     return With(key, std::to_string(value));
@@ -41,7 +42,7 @@
   Severity severity_;
 };
 
-/// @brief Sends glog's output to standard error with the given program name.
+/// @brief Initializes glog with the given program name and directs its output to standard error.
 /// @ingroup base
 void StartLogging(const char* program);
 
--- a/include/rudderloom/base/log_quota.hpp
+++ b/include/rudderloom/base/log_quota.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// Bounds how many log lines of one sort are written in a second.
+/// Limits the number of log lines of one kind per second.
 #ifndef RUDDERLOOM_BASE_LOG_QUOTA_HPP
 #define RUDDERLOOM_BASE_LOG_QUOTA_HPP
 
@@ -9,7 +9,7 @@
 
 namespace rudderloom {
 
-/// @brief Counts lines in windows of a second; what goes beyond is only counted. Pure.
+/// @brief Allows a number of lines per one-second window and counts the excess. Performs no I/O.
 /// @ingroup base
 class LogQuota {
  public:
@@ -30,7 +30,7 @@
     return false;
   }
 
-  /// @brief Lines that were not written since this was asked last.
+  /// @brief Returns the number of lines dropped since the last call.
   std::uint64_t TakeDropped() {
     const std::uint64_t dropped = dropped_;
     dropped_ = 0;
--- a/include/rudderloom/base/published.hpp
+++ b/include/rudderloom/base/published.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A value that one thread changes while others read copies of it.
+/// A value that one thread changes while other threads read immutable copies.
 #ifndef RUDDERLOOM_BASE_PUBLISHED_HPP
 #define RUDDERLOOM_BASE_PUBLISHED_HPP
 
@@ -7,20 +7,20 @@
 
 namespace rudderloom {
 
-/// @brief Hands out immutable copies, one for all readers until the value changes.
+/// @brief Returns immutable copies, shared by all readers until the value changes.
 /// @ingroup base
 template <class Value>
 class Published {
  public:
   const Value& Get() const { return value_; }
 
-  /// @brief The value, to be changed.
+  /// @brief Returns the value for modification and discards the shared copy.
   Value& Change() {
     copy_.reset();
     return value_;
   }
 
-  /// @brief The value as it is now.
+  /// @brief Returns a copy of the current value, created on first use after a change.
   std::shared_ptr<const Value> Copy() {
     if (!copy_) {
       copy_ = std::make_shared<const Value>(value_);
--- a/include/rudderloom/base/spread.hpp
+++ b/include/rudderloom/base/spread.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A number of each node's own, for doing at different times what all would do at once.
+/// A stable number per name, used to spread the actions of many nodes over time.
 #ifndef RUDDERLOOM_BASE_SPREAD_HPP
 #define RUDDERLOOM_BASE_SPREAD_HPP
 
@@ -8,7 +8,7 @@
 
 namespace rudderloom {
 
-/// @brief From 0 to 1, evenly over names; always the same for one name.
+/// @brief Maps a name to a number from 0 to below 1; evenly distributed, the same for equal names.
 /// @ingroup base
 inline double SpreadOf(std::string_view name) {
   constexpr std::size_t kSteps = 1'000;
--- a/include/rudderloom/base/store_revision.hpp
+++ b/include/rudderloom/base/store_revision.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// A point in the history of the platform's store.
+/// Revision of the platform's store, ordered across restores.
 #ifndef RUDDERLOOM_BASE_STORE_REVISION_HPP
 #define RUDDERLOOM_BASE_STORE_REVISION_HPP
 
@@ -8,21 +8,21 @@
 
 namespace rudderloom {
 
-/// @brief A revision together with the era that it was given out in.
+/// @brief A revision number together with the era in which the store issued it.
 ///
-/// Revisions rise with each change, but a store that comes back from an older copy gives some of
-/// them out again, for other changes. Its era rises each time: whatever it says in a later era is
-/// newer than anything that it said before.
+/// Revision numbers increase with each change, but a store restored from an older backup issues
+/// some of them again for other changes. Each restore increases the era, so every revision of a
+/// later era is newer than all revisions of earlier ones.
 /// @ingroup base
 class StoreRevision {
  public:
   constexpr StoreRevision() = default;
   constexpr StoreRevision(std::uint64_t era, std::uint64_t number) : era_(era), number_(number) {}
 
-  /// @brief 0 where the store doesn't tell it.
+  /// @brief 0 if the store does not report one.
   constexpr std::uint64_t Era() const { return era_; }
 
-  /// @brief As the store gives it out; 0 for what isn't there.
+  /// @brief The number issued by the store; 0 for an entry that does not exist.
   constexpr std::uint64_t Number() const { return number_; }
 
   constexpr bool operator==(const StoreRevision&) const = default;
@@ -38,7 +38,7 @@
   std::uint64_t number_ = 0;
 };
 
-/// @brief For logs.
+/// @brief Formats a revision as `era.number`, for logs.
 /// @ingroup base
 inline std::string TextOf(const StoreRevision& revision) {
   return std::to_string(revision.Era()) + "." + std::to_string(revision.Number());
--- a/src/rudderloom/base/change_log_test.cpp
+++ b/src/rudderloom/base/change_log_test.cpp
@@ -10,7 +10,7 @@
 using Log = ChangeLog<int>;
 using Values = std::map<std::string, int>;
 
-TEST_CASE("a log that knows nothing gets the whole list, later ones only what changed") {
+TEST_CASE("Since returns the complete set to an empty log and only the changes to a later one") {
   Log log;
   log.Replace({{"a", 0}, {"b", 0}}, 10);
   const Changes<int> whole = log.Since(0);
@@ -28,7 +28,7 @@
   CHECK(log.Since(20).gone.empty());
 }
 
-TEST_CASE("a change whose revision is not told yet is handed on, and once more when it is") {
+TEST_CASE("a change without a version is returned at once, and again when it gets its version") {
   Log log;
   log.Replace({{"a", 0}}, 10);
   log.Put("a", 1);
@@ -38,7 +38,7 @@
   CHECK(log.Since(12).values.empty());
 }
 
-TEST_CASE("what an older log tells changes nothing") {
+TEST_CASE("Apply ignores the changes of an older log") {
   Log holder;
   holder.Replace({{"a", 0}, {"b", 0}}, 10);
   Log node;
@@ -51,7 +51,7 @@
   CHECK(node.Version() == 15);
 }
 
-TEST_CASE("a log that missed too many departures gets the whole list") {
+TEST_CASE("Since returns the complete set when too many removals were missed") {
   Log log;
   log.Replace({{"stays", 0}}, 1);
   std::uint64_t version = 1;
@@ -66,8 +66,8 @@
   CHECK(log.Since(790).gone.size() == 6);
 }
 
-// Nodes that follow one holder, the store or both always end with the store's own list.
-TEST_CASE("logs that follow by turns the store and another log end up alike") {
+// Nodes that follow a holder, the store or both must converge to the store's values.
+TEST_CASE("a log that alternates between the store and another log converges to the store") {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     Values store;
@@ -104,8 +104,8 @@
   }
 }
 
-// The same, with a holder that is told of each change.
-TEST_CASE("a log that misses answers at random ends like the one that tells it") {
+// The same with a holder that receives each change individually.
+TEST_CASE("a log that misses updates at random converges to its source") {
   for (unsigned seed = 1; seed <= 200; ++seed) {
     std::mt19937 random(seed);
     Log holder;
@@ -121,8 +121,8 @@
         values[key] = version;
         holder.Put(key, version);
       }
-      const bool told_before_settled = random() % 4 == 0;
-      if (told_before_settled) {
+      const bool applied_before_version_known = random() % 4 == 0;
+      if (applied_before_version_known) {
         node.Apply(holder.Since(node.Version()));
       }
       holder.Reached(static_cast<std::uint64_t>(version));
--- a/src/rudderloom/base/json_reader.cpp
+++ b/src/rudderloom/base/json_reader.cpp
@@ -16,15 +16,16 @@
   std::uint64_t factor;
 };
 
-constexpr std::uint64_t kKibi = 1024;
+constexpr std::uint64_t kKibibyte = 1024;
 
 constexpr std::array kTimeUnits{Unit{"ms", 1}, Unit{"s", 1000}, Unit{"m", 60'000},
                                 Unit{"h", 3'600'000}};
-constexpr std::array kSizeUnits{Unit{"B", 1}, Unit{"KiB", kKibi}, Unit{"MiB", kKibi* kKibi},
-                                Unit{"GiB", kKibi* kKibi* kKibi}};
+constexpr std::array kSizeUnits{Unit{"B", 1}, Unit{"KiB", kKibibyte},
+                                Unit{"MiB", kKibibyte* kKibibyte},
+                                Unit{"GiB", kKibibyte* kKibibyte* kKibibyte}};
 
-// The largest number before a unit; keeps the product inside 64 bits.
-constexpr std::uint64_t kMostBeforeUnit = 1'000'000'000;
+// Largest number accepted before a unit, so that the product fits into 64 bits.
+constexpr std::uint64_t kMaxBeforeUnit = 1'000'000'000;
 
 template <std::size_t N>
 std::optional<std::uint64_t> ParseWithUnit(std::string_view text,
@@ -32,7 +33,7 @@
   std::uint64_t number = 0;
   const char* end = text.data() + text.size();
   const auto [rest, error] = std::from_chars(text.data(), end, number);
-  if (error != std::errc() || number > kMostBeforeUnit) {
+  if (error != std::errc() || number > kMaxBeforeUnit) {
     return std::nullopt;
   }
   const std::string_view name(rest, static_cast<std::size_t>(end - rest));
@@ -44,7 +45,7 @@
   return std::nullopt;
 }
 
-std::string Shown(const json::value& value) {
+std::string ToText(const json::value& value) {
   return json::serialize(value);
 }
 
@@ -67,7 +68,7 @@
   if (const auto whole = ParseWithUnit(text, kTimeUnits)) {
     return Duration(static_cast<Duration::rep>(*whole));
   }
-  // With a fraction: digits, a point, digits and the unit.
+  // A decimal fraction: digits, a point, digits and the unit.
   const std::size_t point = text.find('.');
   const std::size_t unit = text.find_first_not_of("0123456789.");
   if (point == 0 || point == std::string_view::npos || unit == std::string_view::npos) {
@@ -92,7 +93,7 @@
     : object_(object), path_(std::move(path)), errors_(errors) {}
 
 const json::value* ObjectReader::Find(std::string_view key, bool required) {
-  known_.emplace(key);
+  requested_keys_.emplace(key);
   const json::value* found = object_.if_contains({key.data(), key.size()});
   if (found == nullptr && required) {
     Fail(key, "is missing");
@@ -110,7 +111,7 @@
     return fallback.value_or("");
   }
   if (!found->is_string()) {
-    Fail(key, Shown(*found) + " is not a string");
+    Fail(key, ToText(*found) + " is not a string");
     return fallback.value_or("");
   }
   if (found->as_string().empty() && !fallback) {
@@ -120,43 +121,43 @@
 }
 
 std::int64_t ObjectReader::Integer(std::string_view key,
-                                   std::int64_t least,
-                                   std::int64_t most,
+                                   std::int64_t min,
+                                   std::int64_t max,
                                    std::optional<std::int64_t> fallback) {
   const json::value* found = Find(key, !fallback);
   if (found == nullptr) {
-    return fallback.value_or(least);
+    return fallback.value_or(min);
   }
   json::error_code error;
   const auto value = found->is_number() && !found->is_double()
                          ? found->to_number<std::int64_t>(error)
                          : std::int64_t{0};
   if (!found->is_number() || found->is_double() || error) {
-    Fail(key, Shown(*found) + " is not a whole number");
-    return fallback.value_or(least);
+    Fail(key, ToText(*found) + " is not a whole number");
+    return fallback.value_or(min);
   }
-  if (value < least || value > most) {
-    Fail(key, std::to_string(value) + " is not in " + std::to_string(least) + ".." +
-                  std::to_string(most));
+  if (value < min || value > max) {
+    Fail(key,
+         std::to_string(value) + " is not in " + std::to_string(min) + ".." + std::to_string(max));
   }
   return value;
 }
 
 double ObjectReader::Number(std::string_view key,
-                            double least,
-                            double most,
+                            double min,
+                            double max,
                             std::optional<double> fallback) {
   const json::value* found = Find(key, !fallback);
   if (found == nullptr) {
-    return fallback.value_or(least);
+    return fallback.value_or(min);
   }
   if (!found->is_number()) {
-    Fail(key, Shown(*found) + " is not a number");
-    return fallback.value_or(least);
+    Fail(key, ToText(*found) + " is not a number");
+    return fallback.value_or(min);
   }
   const double value = found->to_number<double>();
-  if (!(value >= least && value <= most)) {
-    Fail(key, Shown(*found) + " is out of range");
+  if (!(value >= min && value <= max)) {
+    Fail(key, ToText(*found) + " is out of range");
   }
   return value;
 }
@@ -167,7 +168,7 @@
     return fallback;
   }
   if (!found->is_bool()) {
-    Fail(key, Shown(*found) + " is not true or false");
+    Fail(key, ToText(*found) + " is not true or false");
     return fallback;
   }
   return found->as_bool();
@@ -181,7 +182,7 @@
   const auto parsed =
       found->is_string() ? ParseDuration(std::string_view(found->as_string())) : std::nullopt;
   if (!parsed) {
-    Fail(key, Shown(*found) + " is not a time such as \"250ms\", \"5s\", \"10m\" or \"2h\"");
+    Fail(key, ToText(*found) + " is not a time such as \"250ms\", \"5s\", \"10m\" or \"2h\"");
     return fallback.value_or(Duration(0));
   }
   return *parsed;
@@ -195,7 +196,7 @@
   const auto parsed =
       found->is_string() ? ParseSize(std::string_view(found->as_string())) : std::nullopt;
   if (!parsed) {
-    Fail(key, Shown(*found) + " is not a size such as \"64KiB\", \"8MiB\" or \"14GiB\"");
+    Fail(key, ToText(*found) + " is not a size such as \"64KiB\", \"8MiB\" or \"14GiB\"");
     return fallback.value_or(0);
   }
   return *parsed;
@@ -208,14 +209,14 @@
     return result;
   }
   if (!found->is_array()) {
-    Fail(key, Shown(*found) + " is not a list of strings");
+    Fail(key, ToText(*found) + " is not a list of strings");
     return result;
   }
   for (const json::value& element : found->as_array()) {
     if (element.is_string()) {
       result.emplace_back(element.as_string());
     } else {
-      Fail(key, Shown(element) + " is not a string");
+      Fail(key, ToText(element) + " is not a string");
     }
   }
   return result;
@@ -226,7 +227,7 @@
                           const std::function<void(ObjectReader&)>& read) {
   const json::value* found = Find(key, !optional);
   if (found != nullptr && !found->is_object()) {
-    Fail(key, Shown(*found) + " is not an object");
+    Fail(key, ToText(*found) + " is not an object");
     return;
   }
   if (found == nullptr && !optional) {
@@ -245,14 +246,14 @@
     return;
   }
   if (!found->is_array()) {
-    Fail(key, Shown(*found) + " is not a list");
+    Fail(key, ToText(*found) + " is not a list");
     return;
   }
   std::size_t index = 0;
   for (const json::value& element : found->as_array()) {
     const std::string position = std::string(key) + "/" + std::to_string(index++);
     if (!element.is_object()) {
-      Fail(position, Shown(element) + " is not an object");
+      Fail(position, ToText(element) + " is not an object");
       continue;
     }
     ObjectReader nested(element.as_object(), path_ + "/" + position, errors_);
@@ -264,7 +265,7 @@
 void ObjectReader::Finish() {
   for (const auto& member : object_) {
     const std::string_view key(member.key().data(), member.key().size());
-    if (known_.find(key) == known_.end()) {
+    if (requested_keys_.find(key) == requested_keys_.end()) {
       Fail(key, "is not a known key");
     }
   }
--- a/src/rudderloom/base/json_reader_test.cpp
+++ b/src/rudderloom/base/json_reader_test.cpp
@@ -7,7 +7,7 @@
 
 namespace rudderloom {
 
-TEST_CASE("times and sizes need a known unit") {
+TEST_CASE("ParseDuration and ParseSize accept only valid numbers with a known unit") {
   CHECK(ParseDuration("250ms") == Duration(250));
   CHECK(ParseDuration("2h") == Duration(7'200'000));
   CHECK(ParseDuration("2.5s") == Duration(2'500));
@@ -26,7 +26,7 @@
   CHECK_FALSE(ParseSize("99999999999999999999GiB"));
 }
 
-TEST_CASE("every mistake is reported with its path") {
+TEST_CASE("every error is reported with its JSON path") {
   const auto parsed = ParseJsonObject(R"({"port": 70000, "nam": 1, "list": [{"time": "5"}]})", "/");
   JsonErrors errors;
   ObjectReader reader(std::get<boost::json::object>(parsed), "", errors);
@@ -41,19 +41,19 @@
   CHECK(errors[3].Text() == "/nam: is not a known key");
 }
 
-TEST_CASE("broken JSON is one mistake") {
+TEST_CASE("a JSON syntax error is reported as one error") {
   const auto parsed = ParseJsonObject("{", "file.json");
   REQUIRE(std::holds_alternative<JsonErrors>(parsed));
   CHECK(std::get<JsonErrors>(parsed).front().path == "file.json");
 }
 
-TEST_CASE("a log line quotes what needs it") {
+TEST_CASE("LogLine quotes and escapes values where needed") {
   LogLine line("refused");
   line.With("reason", "queue_full").With("detail", "say \"when\"\nto = come").With("ms", 12);
   CHECK(line.Text() == R"(event=refused reason=queue_full detail="say \"when\" to = come" ms=12)");
 }
 
-TEST_CASE("backoff grows, stays in its bounds and differs by seed") {
+TEST_CASE("Backoff grows, stays within its bounds and depends on the seed") {
   Backoff backoff(Duration(100), Duration(1'000), 1);
   Duration longest{0};
   for (int i = 0; i < 20; ++i) {
--- a/src/rudderloom/base/log_line.cpp
+++ b/src/rudderloom/base/log_line.cpp
@@ -62,7 +62,7 @@
 void StartLogging(const char* program) {
   FLAGS_logtostderr = true;
   google::InitGoogleLogging(program);
-  // A crash leaves its stack in the log.
+  // Logs a stack trace on a crash.
   google::InstallFailureSignalHandler();
 }
 
