--- a/include/rudderloom/app/commands.hpp
+++ b/include/rudderloom/app/commands.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// The operators' commands of the one binary.
+/// The operator commands of the rudderloom binary.
 #ifndef RUDDERLOOM_APP_COMMANDS_HPP
 #define RUDDERLOOM_APP_COMMANDS_HPP
 
@@ -11,28 +11,28 @@
 
 namespace rudderloom {
 
-/// @brief Exit statuses of all commands; also in docs/OPERATORS.md.
+/// @brief Exit statuses of all commands; documented in docs/OPERATORS.md.
 /// @ingroup app
 enum class ExitStatus {
   kOk = 0,
-  kFailed = 1,       ///< A daemon had to cut requests at its stop, or something unforeseen.
-  kInvalid = 2,      ///< Settings or declarations have mistakes.
-  kConflict = 3,     ///< Another change came first.
-  kUnreachable = 4,  ///< The daemon or the platform was not reached; nothing was changed.
-  kUnknown = 5,      ///< Nobody knows whether the change was made; ask again with its token.
-  kBehind = 6,       ///< Accepted, but not in force everywhere within the time given.
+  kFailed = 1,       ///< A daemon aborted requests at its stop, or an unexpected error occurred.
+  kInvalid = 2,      ///< Settings or declarations contain errors.
+  kConflict = 3,     ///< Another change was made first.
+  kUnreachable = 4,  ///< The daemon or the platform was unreachable; nothing was changed.
+  kUnknown = 5,      ///< The outcome of the change is unknown; retry with its token.
+  kBehind = 6,       ///< Accepted, but not in force everywhere within the wait time.
   kDiffers = 7,      ///< `diff` found differences.
-  kUsage = 64,       ///< The command line makes no sense.
+  kUsage = 64,       ///< Invalid command line.
 };
 
-/// @brief What the operators' commands have in common.
+/// @brief Options shared by the operator commands.
 /// @ingroup app
 struct CommandOptions {
-  std::string daemon;  ///< Peers' address of any entry node.
+  std::string daemon;  ///< Peer address of any entry node.
   bool json = false;
   std::string author;
   std::string token;
-  std::optional<std::uint64_t> generation;  ///< Expected; empty: as the daemon knows it.
+  std::optional<std::uint64_t> generation;  ///< Expected; when empty, the one the daemon reports.
   bool wait = false;
   Duration wait_time{10'000};
 };
--- a/include/rudderloom/app/daemon.hpp
+++ b/include/rudderloom/app/daemon.hpp
@@ -1,5 +1,5 @@
 /// @file
-/// One entry node as a process: wires the slices together and runs until a planned stop.
+/// The process of one entry node: connects its components and runs until a graceful stop.
 #ifndef RUDDERLOOM_APP_DAEMON_HPP
 #define RUDDERLOOM_APP_DAEMON_HPP
 
@@ -7,9 +7,10 @@
 
 namespace rudderloom {
 
-/// @brief Runs an entry node; returns after SIGTERM or SIGINT once nothing is in flight.
-/// Prints `ready callers=ADDRESS peers=ADDRESS` on standard output once it listens.
-/// @return The exit status: 0 after a clean stop, 1 when requests had to be cut.
+/// @brief Runs an entry node; returns after SIGTERM or SIGINT, once no request is in
+/// flight or the stop time is up.
+/// Prints `ready callers=ADDRESS peers=ADDRESS` to standard output once it listens.
+/// @return The exit status: 0 after a clean stop, 1 when requests were aborted.
 /// @ingroup app
 int RunDaemon(const Settings& settings);
 
--- a/src/rudderloom/app/commands.cpp
+++ b/src/rudderloom/app/commands.cpp
@@ -19,7 +19,7 @@
 
 namespace {
 
-constexpr Duration kWaitPoll{100};
+constexpr Duration kWaitPollInterval{100};
 
 std::string NewToken() {
   std::random_device device;
@@ -44,64 +44,65 @@
   std::vector<DeclarationFile> files;
   for (const std::string& path : paths) {
     auto text = ReadFile(path);
-    if (auto* mistakes = std::get_if<JsonErrors>(&text)) {
-      return std::move(*mistakes);
+    if (auto* errors = std::get_if<JsonErrors>(&text)) {
+      return std::move(*errors);
     }
     files.push_back({fs::path(path).filename().string(), std::get<std::string>(text)});
   }
   return files;
 }
 
-// A declaration set is named after its directory.
-std::string SetNameOf(const std::string& directory) {
+// Returns the name of a declaration set, which is that of its directory.
+std::string DeclarationSetName(const std::string& directory) {
   return fs::weakly_canonical(directory).filename().string();
 }
 
-ExitStatus Failed(const CallFailed& failed, const CommandOptions& options) {
-  PrintProblem("unreachable", "daemon " + options.daemon + ": " + failed.message, options.json);
+ExitStatus ReportUnreachable(const CallFailure& failure, const CommandOptions& options) {
+  PrintFailure("unreachable", "daemon " + options.daemon + ": " + failure.message, options.json);
   return ExitStatus::kUnreachable;
 }
 
-// Waits until every live entry node has the generation in force; names those that are behind.
-ExitStatus WaitInForce(OperatorClient& client,
-                       std::uint64_t generation,
-                       const CommandOptions& options) {
-  const TimePoint until = Now() + options.wait_time;
+// Waits until the generation is in force on every live entry node, or the wait time is up;
+// prints the nodes that are behind.
+ExitStatus WaitUntilInForce(OperatorClient& client,
+                            std::uint64_t generation,
+                            const CommandOptions& options) {
+  const TimePoint deadline = Now() + options.wait_time;
   while (true) {
     auto status = client.Status();
-    if (auto* failed = std::get_if<CallFailed>(&status)) {
-      return Failed(*failed, options);
+    if (auto* failure = std::get_if<CallFailure>(&status)) {
+      return ReportUnreachable(*failure, options);
     }
-    const StatusLines& lines = std::get<StatusLines>(status);
+    const StatusSummary& summary = std::get<StatusSummary>(status);
     std::vector<std::string> behind;
-    if (lines.node.generation < generation) {
-      behind.push_back(lines.node.name);
+    if (summary.node.generation < generation) {
+      behind.push_back(summary.node.name);
     }
-    for (const NodeLine& node : lines.others) {
+    for (const NodeSummary& node : summary.others) {
       if (node.live && node.generation < generation) {
         behind.push_back(node.name);
       }
     }
-    if (behind.empty() || Now() >= until) {
-      PrintInForce(generation, behind, lines.others.size() + 1, options.json);
+    if (behind.empty() || Now() >= deadline) {
+      PrintInForce(generation, behind, summary.others.size() + 1, options.json);
       return behind.empty() ? ExitStatus::kOk : ExitStatus::kBehind;
     }
-    PauseCommand(kWaitPoll);
+    BlockFor(kWaitPollInterval);
   }
 }
 
-// Prints the result of a change and gives its exit status.
+// Prints the result of a change and returns its exit status.
 struct ResultPrinter {
   OperatorClient& client;
   const CommandOptions& options;
 
   ExitStatus operator()(const ChangeAccepted& accepted) {
     PrintResult("accepted", accepted.generation, "", options.json);
-    return options.wait ? WaitInForce(client, accepted.generation, options) : ExitStatus::kOk;
+    return options.wait ? WaitUntilInForce(client, accepted.generation, options) : ExitStatus::kOk;
   }
   ExitStatus operator()(const ChangeUnchanged& unchanged) {
     PrintResult("unchanged", unchanged.generation, "", options.json);
-    return options.wait ? WaitInForce(client, unchanged.generation, options) : ExitStatus::kOk;
+    return options.wait ? WaitUntilInForce(client, unchanged.generation, options) : ExitStatus::kOk;
   }
   ExitStatus operator()(const ChangeConflict& conflict) {
     PrintResult("conflict", conflict.generation,
@@ -110,16 +111,16 @@
     return ExitStatus::kConflict;
   }
   ExitStatus operator()(const ChangeInvalid& invalid) {
-    PrintMistakes(invalid.mistakes, options.json);
+    PrintErrors(invalid.mistakes, options.json);
     return ExitStatus::kInvalid;
   }
   ExitStatus operator()(const ChangeUnreachable& unreachable) {
-    PrintProblem("platform_unreachable", unreachable.message + "; nothing was changed",
+    PrintFailure("platform_unreachable", unreachable.message + "; nothing was changed",
                  options.json);
     return ExitStatus::kUnreachable;
   }
   ExitStatus operator()(const ChangeUnknown& unknown) {
-    PrintProblem("outcome_unknown", "ask again with --token " + unknown.token, options.json);
+    PrintFailure("outcome_unknown", "ask again with --token " + unknown.token, options.json);
     return ExitStatus::kUnknown;
   }
 };
@@ -131,16 +132,16 @@
   if (options.generation) {
     request.expected_generation = *options.generation;
   } else {
-    auto present = client.Get();
-    if (auto* failed = std::get_if<CallFailed>(&present)) {
-      return Failed(*failed, options);
+    auto current = client.Get();
+    if (auto* failure = std::get_if<CallFailure>(&current)) {
+      return ReportUnreachable(*failure, options);
     }
-    request.expected_generation = std::get<Configuration>(present).generation;
+    request.expected_generation = std::get<Configuration>(current).generation;
   }
   auto result = client.Change(request);
-  if (std::holds_alternative<CallFailed>(result)) {
-    // The daemon may have gone on with it.
-    PrintProblem("outcome_unknown",
+  if (std::holds_alternative<CallFailure>(result)) {
+    // The daemon may still have made the change.
+    PrintFailure("outcome_unknown",
                  "no answer from " + options.daemon + "; ask again with --token " + request.token,
                  options.json);
     return ExitStatus::kUnknown;
@@ -152,28 +153,28 @@
 
 namespace {
 
-// Mistakes of a settings file, for whichever interface it asks.
-JsonErrors MistakesOf(const std::string& text) {
+// Validates a settings file of either daemon variant.
+JsonErrors ValidateSettings(const std::string& text) {
   if (AsksForFleet(text)) {
     auto read = ParseFleetSettings(text);
-    const auto* mistakes = std::get_if<JsonErrors>(&read);
-    return mistakes == nullptr ? JsonErrors() : *mistakes;
+    const auto* errors = std::get_if<JsonErrors>(&read);
+    return errors == nullptr ? JsonErrors() : *errors;
   }
   auto read = ParseSettings(text);
-  const auto* mistakes = std::get_if<JsonErrors>(&read);
-  return mistakes == nullptr ? JsonErrors() : *mistakes;
+  const auto* errors = std::get_if<JsonErrors>(&read);
+  return errors == nullptr ? JsonErrors() : *errors;
 }
 
 }  // namespace
 
 ExitStatus CheckSettings(const std::string& file, bool json) {
   auto text = ReadFile(file);
-  if (auto* mistakes = std::get_if<JsonErrors>(&text)) {
-    PrintMistakes(*mistakes, json);
+  if (auto* errors = std::get_if<JsonErrors>(&text)) {
+    PrintErrors(*errors, json);
     return ExitStatus::kInvalid;
   }
-  if (auto mistakes = MistakesOf(std::get<std::string>(text)); !mistakes.empty()) {
-    PrintMistakes(mistakes, json);
+  if (auto errors = ValidateSettings(std::get<std::string>(text)); !errors.empty()) {
+    PrintErrors(errors, json);
     return ExitStatus::kInvalid;
   }
   PrintResult("valid", std::nullopt, file, json);
@@ -182,16 +183,16 @@
 
 ExitStatus CheckDeclarations(const std::string& directory, bool json) {
   auto files = ReadDirectory(directory);
-  if (auto* mistakes = std::get_if<JsonErrors>(&files)) {
-    PrintMistakes(*mistakes, json);
+  if (auto* errors = std::get_if<JsonErrors>(&files)) {
+    PrintErrors(*errors, json);
     return ExitStatus::kInvalid;
   }
   ChangeRequest request;
-  request.what =
-      ApplySet{SetNameOf(directory), std::move(std::get<std::vector<DeclarationFile>>(files))};
+  request.what = ApplySet{DeclarationSetName(directory),
+                          std::move(std::get<std::vector<DeclarationFile>>(files))};
   auto changed = Changed(Configuration(), request);
-  if (auto* mistakes = std::get_if<JsonErrors>(&changed)) {
-    PrintMistakes(*mistakes, json);
+  if (auto* errors = std::get_if<JsonErrors>(&changed)) {
+    PrintErrors(*errors, json);
     return ExitStatus::kInvalid;
   }
   PrintResult("valid", std::nullopt, directory, json);
@@ -200,13 +201,13 @@
 
 ExitStatus Apply(const std::string& directory, const CommandOptions& options) {
   auto files = ReadDirectory(directory);
-  if (auto* mistakes = std::get_if<JsonErrors>(&files)) {
-    PrintMistakes(*mistakes, options.json);
+  if (auto* errors = std::get_if<JsonErrors>(&files)) {
+    PrintErrors(*errors, options.json);
     return ExitStatus::kInvalid;
   }
   ChangeRequest request;
-  request.what =
-      ApplySet{SetNameOf(directory), std::move(std::get<std::vector<DeclarationFile>>(files))};
+  request.what = ApplySet{DeclarationSetName(directory),
+                          std::move(std::get<std::vector<DeclarationFile>>(files))};
   return Change(std::move(request), options);
 }
 
@@ -218,32 +219,32 @@
 
 ExitStatus Get(const CommandOptions& options) {
   OperatorClient client(options.daemon);
-  auto present = client.Get();
-  if (auto* failed = std::get_if<CallFailed>(&present)) {
-    return Failed(*failed, options);
+  auto current = client.Get();
+  if (auto* failure = std::get_if<CallFailure>(&current)) {
+    return ReportUnreachable(*failure, options);
   }
-  std::cout << json::serialize(ToJson(std::get<Configuration>(present))) << "\n";
+  std::cout << json::serialize(ToJson(std::get<Configuration>(current))) << "\n";
   return ExitStatus::kOk;
 }
 
 ExitStatus Diff(const std::string& directory, const CommandOptions& options) {
   auto files = ReadDirectory(directory);
-  if (auto* mistakes = std::get_if<JsonErrors>(&files)) {
-    PrintMistakes(*mistakes, options.json);
+  if (auto* errors = std::get_if<JsonErrors>(&files)) {
+    PrintErrors(*errors, options.json);
     return ExitStatus::kInvalid;
   }
   auto merged = MergeFiles(std::get<std::vector<DeclarationFile>>(files));
-  if (auto* mistakes = std::get_if<JsonErrors>(&merged)) {
-    PrintMistakes(*mistakes, options.json);
+  if (auto* errors = std::get_if<JsonErrors>(&merged)) {
+    PrintErrors(*errors, options.json);
     return ExitStatus::kInvalid;
   }
   OperatorClient client(options.daemon);
-  auto present = client.Get();
-  if (auto* failed = std::get_if<CallFailed>(&present)) {
-    return Failed(*failed, options);
+  auto current = client.Get();
+  if (auto* failure = std::get_if<CallFailure>(&current)) {
+    return ReportUnreachable(*failure, options);
   }
-  const auto& sets = std::get<Configuration>(present).sets;
-  const auto in_force = sets.find(SetNameOf(directory));
+  const auto& sets = std::get<Configuration>(current).sets;
+  const auto in_force = sets.find(DeclarationSetName(directory));
   const bool differs = PrintDiff(in_force == sets.end() ? DeclarationSet() : in_force->second,
                                  std::get<DeclarationSet>(merged), options.json);
   return differs ? ExitStatus::kDiffers : ExitStatus::kOk;
@@ -251,21 +252,21 @@
 
 ExitStatus Events(const CommandOptions& options) {
   OperatorClient client(options.daemon);
-  auto present = client.Get();
-  if (auto* failed = std::get_if<CallFailed>(&present)) {
-    return Failed(*failed, options);
+  auto current = client.Get();
+  if (auto* failure = std::get_if<CallFailure>(&current)) {
+    return ReportUnreachable(*failure, options);
   }
-  PrintEvents(std::get<Configuration>(present).catalog, options.json);
+  PrintEvents(std::get<Configuration>(current).catalog, options.json);
   return ExitStatus::kOk;
 }
 
 ExitStatus PrintStatus(const CommandOptions& options) {
   OperatorClient client(options.daemon);
   auto status = client.Status();
-  if (auto* failed = std::get_if<CallFailed>(&status)) {
-    return Failed(*failed, options);
+  if (auto* failure = std::get_if<CallFailure>(&status)) {
+    return ReportUnreachable(*failure, options);
   }
-  PrintStatusLines(std::get<StatusLines>(status), options.json);
+  PrintStatusSummary(std::get<StatusSummary>(status), options.json);
   return ExitStatus::kOk;
 }
 
--- a/src/rudderloom/app/daemon.cpp
+++ b/src/rudderloom/app/daemon.cpp
@@ -18,16 +18,16 @@
 
 namespace {
 
-constexpr Duration kStopPoll{20};
+constexpr Duration kStopPollInterval{20};
 
 std::string NewIncarnation(const std::string& name) {
   std::random_device device;
-  constexpr unsigned kHalf = 32;
-  const std::uint64_t number = (static_cast<std::uint64_t>(device()) << kHalf) | device();
+  constexpr unsigned kHalfBits = 32;
+  const std::uint64_t number = (static_cast<std::uint64_t>(device()) << kHalfBits) | device();
   return name + "-" + std::to_string(number);
 }
 
-// Where a thread that serves callers and one that serves control each get their share of metrics.
+// Counts the calls to the platform and their bytes, for the stores of both threads.
 CallObserver CountPlatformCalls(Metrics& metrics) {
   return [&metrics](std::string_view verb, std::string_view kind, std::size_t bytes) {
     const std::string call = std::string(verb) + " " + std::string(kind);
@@ -38,7 +38,7 @@
   };
 }
 
-// All parts of one entry node, in the order in which they are made.
+// Owns the components of one entry node; the members are declared in construction order.
 class Daemon {
  public:
   explicit Daemon(const Settings& settings)
@@ -72,8 +72,8 @@
 
   int Run() {
     contact_.Heard(Now());
-    actor_ =
-        std::make_unique<ControlActor>(settings_, incarnation_, node_server_.Address(), Sinks());
+    actor_ = std::make_unique<ControlActor>(settings_, incarnation_, node_server_.Address(),
+                                            MakeSinks());
     const std::string callers = front_.Start();
     shell_.Start();
     node_server_.Start({[this](message::Any any) { actor_->Post(std::move(any)); },
@@ -90,7 +90,7 @@
     std::cout << "ready callers=" << callers << " peers=" << node_server_.Address() << std::endl;
     WaitForSignal();
     const bool clean = Stop();
-    // Whatever posts to the actor ends before the actor does.
+    // Everything that posts to the actor must stop before the actor is destroyed.
     control_context_.stop();
     traffic_context_.stop();
     control.join();
@@ -109,7 +109,7 @@
                                settings_.platform.watch_time, CountPlatformCalls(metrics_));
   }
 
-  ControlSinks Sinks() {
+  ControlSinks MakeSinks() {
     ControlSinks sinks;
     sinks.effects = [this](PoolEffects effects) { shell_.Execute(std::move(effects)); };
     sinks.snapshot = [this](SnapshotPtr snapshot) {
@@ -149,31 +149,32 @@
     signal_context_.run();
   }
 
-  // Tells the balancer and the peers, gives the leases back, and lets requests in flight end.
+  // Announces the stop to the load balancer and the peers, releases the leases and drains requests
+  // in flight. Returns false if some were still unfinished at the deadline.
   bool Stop() {
     LogLine("stopping").With("node", settings_.name);
-    const TimePoint until = Now() + settings_.stop_notice + settings_.stop_time;
+    const TimePoint deadline = Now() + settings_.stop_notice + settings_.stop_time;
     asio::post(traffic_context_, [this] { front_.BeginStop(); });
     actor_->Post(message::StopAsked{});
     Wait(settings_.stop_notice);
     asio::post(traffic_context_, [this] { front_.StopAccepting(); });
-    while (Now() < until) {
+    while (Now() < deadline) {
       std::promise<std::size_t> unfinished;
       asio::post(traffic_context_, [&] { unfinished.set_value(front_.Unfinished()); });
       const bool done = unfinished.get_future().get() == 0;
       if (done && released_.load()) {
         break;
       }
-      Wait(kStopPoll);
+      Wait(kStopPollInterval);
     }
-    std::promise<std::size_t> left;
-    asio::post(traffic_context_, [&] { left.set_value(front_.Unfinished()); });
-    const std::size_t cut = left.get_future().get();
+    std::promise<std::size_t> remaining;
+    asio::post(traffic_context_, [&] { remaining.set_value(front_.Unfinished()); });
+    const std::size_t unfinished_requests = remaining.get_future().get();
     std::promise<void> unregistered;
     asio::co_spawn(control_context_, shell_.Unregister(),
                    [&](const std::exception_ptr&) { unregistered.set_value(); });
     unregistered.get_future().wait();
-    return cut == 0;
+    return unfinished_requests == 0;
   }
 
   static void Wait(Duration pause) {
@@ -185,7 +186,8 @@
 
   const Settings settings_;
   const std::string incarnation_;
-  // Registered for the lifetime of the daemon, so that a second signal doesn't end it mid-stop.
+  // Registered for the lifetime of the daemon, so that a second signal does not kill it during
+  // the stop.
   asio::io_context signal_context_;
   asio::signal_set stop_signals_{signal_context_, SIGTERM, SIGINT};
   Metrics metrics_;
--- a/src/rudderloom/app/fleet_daemon.cpp
+++ b/src/rudderloom/app/fleet_daemon.cpp
@@ -24,20 +24,20 @@
 
 namespace {
 
-// The balancer asks every second and takes a node out after two refusals.
+// The load balancer probes readiness every second and removes a node after two failed probes.
 constexpr Duration kStopNotice{2'600};
-constexpr Duration kStopPoll{20};
-constexpr Duration kReportLimit{600};
-// Before the platform kills the process.
+constexpr Duration kStopPollInterval{20};
+constexpr Duration kReportTimeout{600};
+// Time reserved before the platform kills the process at the end of the grace period.
 constexpr Duration kGraceMargin{700};
-// Time to send the answers of interrupted requests.
-constexpr Duration kFinalAnswerMargin{150};
+// Time to send the responses to interrupted requests.
+constexpr Duration kFinalResponseMargin{150};
 
 class FleetDaemon {
  public:
   FleetDaemon(const FleetSettings& settings, std::string settings_file)
-      : link_(settings.listen.peers, kReportLimit),
-        settings_(WithPeers(settings, link_.Address())),
+      : link_(settings.listen.peers, kReportTimeout),
+        settings_(WithPeersAddress(settings, link_.Address())),
         settings_file_(std::move(settings_file)),
         dialect_(platform::MakeDialect()),
         control_work_(asio::make_work_guard(control_context_)),
@@ -47,7 +47,7 @@
                                    settings.store_address,
                                    settings.store_call_time,
                                    settings.store_watch_time,
-                                   CountCalls())),
+                                   CountStoreCalls())),
         front_(
             traffic_context_,
             settings_,
@@ -57,10 +57,10 @@
               actor_->Post(fleet_message::NodeSampled{std::move(counts)});
             },
             [this](const std::string& holder, const SpendAsk& ask, SpendCallback done) {
-              AskHolder(holder, ask, std::move(done));
+              RequestSpend(holder, ask, std::move(done));
             },
             [this](const std::string& granter, const PermitAsk& ask, PermitCallback done) {
-              AskForPermit(granter, ask, std::move(done));
+              RequestPermit(granter, ask, std::move(done));
             }),
         shell_(control_context_,
                settings_,
@@ -72,8 +72,8 @@
   FleetDaemon(const FleetDaemon&) = delete;
   FleetDaemon& operator=(const FleetDaemon&) = delete;
 
-  // After a failed start too, the link's thread and suspended coroutines must end before the
-  // members that they refer to.
+  // Also after a failed start, the link's thread and suspended coroutines must end before the
+  // members that they refer to are destroyed.
   ~FleetDaemon() {
     link_.Stop();
     control_context_.EndCoroutines();
@@ -98,7 +98,7 @@
               << " peers=" << listen.peers << " metrics=" << listen.metrics << std::endl;
     ServeUntilStopped();
     const bool clean = Stop();
-    // Whatever posts to the actor ends before the actor does.
+    // Everything that posts to the actor must stop before the actor is destroyed.
     control_context_.stop();
     traffic_context_.stop();
     control.join();
@@ -112,28 +112,28 @@
   }
 
  private:
-  static FleetSettings WithPeers(FleetSettings settings, const std::string& peers) {
+  static FleetSettings WithPeersAddress(FleetSettings settings, const std::string& peers) {
     settings.listen.peers = peers;
     return settings;
   }
 
   static std::string NewIncarnation() {
     std::random_device device;
-    constexpr unsigned kHalf = 32;
-    return std::to_string((static_cast<std::uint64_t>(device()) << kHalf) | device());
+    constexpr unsigned kHalfBits = 32;
+    return std::to_string((static_cast<std::uint64_t>(device()) << kHalfBits) | device());
   }
 
-  // Hands the control state's wishes to the threads that carry them out.
+  // Dispatches the effects of the control state to the threads that carry them out.
   void Execute(FleetEffects effects) {
     if (effects.view) {
       asio::post(traffic_context_,
                  [this, view = std::move(effects.view)]() mutable { front_.Use(std::move(view)); });
     }
     if (effects.statement) {
-      const HolderDigest& told = effects.statement->common;
-      const bool own = told.holder == settings_.listen.peers;
-      metrics_.Set({"rudderloom_lease_held"}, told.holds && own ? 1.0 : 0.0);
-      metrics_.Set({"rudderloom_word_relayed"}, told.holds && !own ? 1.0 : 0.0);
+      const HolderDigest& digest = effects.statement->common;
+      const bool own = digest.holder == settings_.listen.peers;
+      metrics_.Set({"rudderloom_lease_held"}, digest.holds && own ? 1.0 : 0.0);
+      metrics_.Set({"rudderloom_word_relayed"}, digest.holds && !own ? 1.0 : 0.0);
       const std::lock_guard lock(statement_mutex_);
       statement_ = std::move(effects.statement);
     }
@@ -169,7 +169,7 @@
     hooks.on_digest = [this](HolderDigest digest, const std::string& from, std::uint64_t number) {
       actor_->Post(fleet_message::DigestHeard{std::move(digest), from, number});
     };
-    hooks.on_spend = [this](const SpendAsk& ask) { return AnswerAsk(ask); };
+    hooks.on_spend = [this](const SpendAsk& ask) { return AnswerSpend(ask); };
     hooks.on_permit = [this](const PermitAsk& ask) { return AnswerPermit(ask); };
     hooks.on_failure = [this](const std::string& to, std::uint64_t number) {
       metrics_.Count({"rudderloom_holder_reports_failed_total"});
@@ -178,17 +178,17 @@
     return hooks;
   }
 
-  void AskHolder(const std::string& holder, const SpendAsk& ask, SpendCallback done) {
+  void RequestSpend(const std::string& holder, const SpendAsk& ask, SpendCallback done) {
     if (holder == settings_.listen.peers) {
-      done(AnswerAsk(ask));
+      done(AnswerSpend(ask));
     } else {
       link_.Ask(holder, ask, std::move(done));
     }
   }
 
-  // Whether a request may run, at this node or at another one, if this one is to say so: as the
-  // holder of the lease, or as a relay while there is none.
-  SpendAnswer AnswerAsk(const SpendAsk& ask) {
+  // Decides whether a request may run, on this node or another one, if this node currently grants
+  // quota: as the lease holder, or as a relay while there is no holder.
+  SpendAnswer AnswerSpend(const SpendAsk& ask) {
     const std::lock_guard lock(statement_mutex_);
     if (!statement_ || !statement_->grants) {
       return {};
@@ -201,7 +201,7 @@
     return answer;
   }
 
-  void AskForPermit(const std::string& granter, const PermitAsk& ask, PermitCallback done) {
+  void RequestPermit(const std::string& granter, const PermitAsk& ask, PermitCallback done) {
     if (granter == settings_.listen.peers) {
       done(AnswerPermit(ask));
     } else {
@@ -209,8 +209,8 @@
     }
   }
 
-  // Whether a request may be sent to an endpoint with a limit, if this node is to say so: as the
-  // holder of the lease or as its deputy.
+  // Decides whether a request may be sent to an endpoint with a limit, if this node currently
+  // issues permits: as the lease holder or as its deputy.
   PermitAnswer AnswerPermit(const PermitAsk& ask) {
     const std::lock_guard lock(statement_mutex_);
     PermitAnswer answer;
@@ -221,7 +221,7 @@
     return answer;
   }
 
-  CallObserver CountCalls() {
+  CallObserver CountStoreCalls() {
     return [this](std::string_view verb, std::string_view kind, std::size_t bytes) {
       const std::string call = std::string(verb) + " " + std::string(kind);
       metrics_.Count({"rudderloom_platform_calls_total", "call", call});
@@ -232,70 +232,71 @@
 
   void ServeUntilStopped() {
     stop_signals_.async_wait([this](boost::system::error_code, int) { signal_context_.stop(); });
-    AwaitReload();
+    ListenForReload();
     signal_context_.run();
   }
 
-  void AwaitReload() {
+  void ListenForReload() {
     reload_signals_.async_wait([this](boost::system::error_code error, int) {
       if (!error) {
         Reload();
-        AwaitReload();
+        ListenForReload();
       }
     });
   }
 
-  // Settings that make no sense are refused and change nothing. Addresses hold for a whole life.
+  // Validates the settings file again. Invalid settings are rejected and change nothing. Addresses
+  // are fixed for the lifetime of the process.
   void Reload() {
     auto text = ReadFile(settings_file_);
     if (std::holds_alternative<JsonErrors>(text)) {
-      RefuseReload("the file can't be read");
+      RejectReload("the file can't be read");
       return;
     }
     auto read = ParseFleetSettings(std::get<std::string>(text));
     if (auto* errors = std::get_if<JsonErrors>(&read)) {
-      RefuseReload(errors->front().Text());
+      RejectReload(errors->front().Text());
       return;
     }
     metrics_.Count({"rudderloom_reloads_total", "result", "ok"});
     LogLine("reloaded").With("node", std::get<FleetSettings>(read).name);
   }
 
-  void RefuseReload(const std::string& error) {
+  void RejectReload(const std::string& error) {
     metrics_.Count({"rudderloom_reloads_total", "result", "refused"});
     LogLine("reload_refused", Severity::kError).With("error", error);
   }
 
-  std::uint64_t Active() {
+  std::uint64_t ActiveRequests() {
     std::promise<std::uint64_t> active;
     asio::post(traffic_context_, [&] { active.set_value(front_.Active()); });
     return active.get_future().get();
   }
 
-  // Tells the balancer, waits until it has noticed, and lets requests in flight end.
+  // Reports not ready, waits until the load balancer has noticed, and drains requests in flight.
   // Interrupts those still in flight shortly before the grace period ends, and returns false if
   // there were any.
   bool Stop() {
     LogLine("stopping").With("node", settings_.name);
-    const TimePoint until = Now() + settings_.bounds.grace - kGraceMargin;
-    const TimePoint interrupt_at = until - kFinalAnswerMargin;
+    const TimePoint deadline = Now() + settings_.bounds.grace - kGraceMargin;
+    const TimePoint interrupt_at = deadline - kFinalResponseMargin;
     asio::post(traffic_context_,
-               [this, interrupt_at] { front_.BeginStop(interrupt_at - kFinalAnswerMargin); });
+               [this, interrupt_at] { front_.BeginStop(interrupt_at - kFinalResponseMargin); });
     actor_->Post(fleet_message::StopAsked{});
     Wait(kStopNotice);
     asio::post(traffic_context_, [this] { front_.StopAccepting(); });
     AwaitIdle(interrupt_at);
-    if (Active() == 0) {
+    if (ActiveRequests() == 0) {
       return true;
     }
     asio::post(traffic_context_, [this] { front_.InterruptRequests(); });
-    AwaitIdle(until);
+    AwaitIdle(deadline);
     return false;
   }
 
-  void AwaitIdle(TimePoint until) {
-    while (Active() > 0 && Now() < until) {
-      Wait(kStopPoll);
+  void AwaitIdle(TimePoint deadline) {
+    while (ActiveRequests() > 0 && Now() < deadline) {
+      Wait(kStopPollInterval);
     }
   }
 
@@ -306,13 +307,13 @@
     context.run();
   }
 
-  // Made first: the port that it takes names this node to the others.
+  // Declared first: the address that it listens on identifies this node to the others.
   HolderLink link_;
   const FleetSettings settings_;
   const std::string settings_file_;
   Metrics metrics_;
   // Registered for the lifetime of the daemon, so that a signal during the start or the stop
-  // doesn't end the process.
+  // does not kill the process.
   asio::io_context signal_context_;
   asio::signal_set stop_signals_{signal_context_, SIGTERM, SIGINT};
   asio::signal_set reload_signals_{signal_context_, SIGHUP};
@@ -323,11 +324,11 @@
   asio::executor_work_guard<asio::io_context::executor_type> traffic_work_;
   std::mutex statement_mutex_;
   std::shared_ptr<const Statement> statement_;
-  GrantBook grants_;    // guarded by the same mutex
-  PermitBook permits_;  // guarded by the same mutex
+  GrantBook grants_;    // guarded by statement_mutex_
+  PermitBook permits_;  // guarded by statement_mutex_
   std::atomic<bool> released_{false};
   std::unique_ptr<FleetActor> actor_;
-  CallTally tally_;  // used on the control context's thread
+  CallTally tally_;  // used only on the control context's thread
   std::unique_ptr<ObjectStore> store_;
   FleetFront front_;
   FleetShell shell_;
--- a/src/rudderloom/app/main.cpp
+++ b/src/rudderloom/app/main.cpp
@@ -1,4 +1,4 @@
-// rudderloom: the one shipped binary.
+// Entry point of the rudderloom binary.
 #include <cxxopts.hpp>     // for Options
 #include <functional>      // for function
 #include <iostream>        // for cout
@@ -33,7 +33,7 @@
 
 using Parsed = cxxopts::ParseResult;
 
-// One subcommand: how its options are declared, and what it does.
+// A subcommand: declares its options and runs it.
 struct Command {
   std::string summary;
   std::function<void(cxxopts::Options&)> declare;
@@ -46,20 +46,20 @@
 }
 
 void DeclareDaemonAddress(cxxopts::Options& options) {
-  options.add_options()("daemon", "peers' address of any entry node",
-                        cxxopts::value<std::string>())(
+  options.add_options()("daemon", "peer address of any entry node", cxxopts::value<std::string>())(
       "output", "text or json", cxxopts::value<std::string>()->default_value("text"));
 }
 
 void DeclareChange(cxxopts::Options& options) {
   DeclareDaemonAddress(options);
-  options.add_options()("author", "shown to whoever loses a race",
+  options.add_options()("author", "name shown to an operator whose change conflicts with this one",
                         cxxopts::value<std::string>()->default_value(DefaultAuthor()))(
-      "token", "of an earlier try whose outcome is unknown",
+      "token", "token of an earlier attempt whose outcome is unknown",
       cxxopts::value<std::string>()->default_value(""))(
-      "generation", "change this generation or none", cxxopts::value<std::uint64_t>())(
-      "wait", "until it is in force on every live entry node")(
-      "wait-time", "how long at most", cxxopts::value<std::string>()->default_value("10s"));
+      "generation", "expected generation; the change is rejected if it differs",
+      cxxopts::value<std::uint64_t>())(
+      "wait", "wait until the change is in force on every live entry node")(
+      "wait-time", "maximum time to wait", cxxopts::value<std::string>()->default_value("10s"));
 }
 
 void DeclarePositional(cxxopts::Options& options, const std::string& name) {
@@ -159,10 +159,10 @@
                        [](const Parsed& parsed) {
                          return Apply(Required(parsed, "directory"), ReadChangeOptions(parsed));
                        }};
-  commands["drain"] = {"take an endpoint out of service, or bring it back",
+  commands["drain"] = {"take an endpoint out of service, or return it",
                        [](cxxopts::Options& options) {
                          DeclareChange(options);
-                         options.add_options()("undo", "bring it back");
+                         options.add_options()("undo", "return it to service");
                          DeclarePositional(options, "endpoint");
                        },
                        [](const Parsed& parsed) {
@@ -188,7 +188,7 @@
 
 ExitStatus RunCommand(const std::string& name, const Command& command, int argc, char** argv) {
   cxxopts::Options options("rudderloom " + name, command.summary);
-  options.add_options()("help", "print this");
+  options.add_options()("help", "print this help");
   command.declare(options);
   const Parsed parsed = options.parse(argc, argv);
   if (parsed.count("help") > 0) {
--- a/src/rudderloom/app/operator_client.cpp
+++ b/src/rudderloom/app/operator_client.cpp
@@ -11,25 +11,25 @@
 
 namespace {
 
-constexpr kj::Duration kCallTime = 15 * kj::SECONDS;
+constexpr kj::Duration kCallTimeout = 15 * kj::SECONDS;
 
-NodeLine ReadNode(rpc::NodeStatus::Reader in) {
+NodeSummary ReadNode(rpc::NodeStatus::Reader in) {
   return {in.getName().cStr(), in.getAddress().cStr(), in.getAvailabilityZone().cStr(),
           in.getGeneration(),  in.getLive(),           in.getStopping()};
 }
 
-EndpointLine ReadEndpoint(rpc::EndpointStatus::Reader in) {
-  EndpointLine line{in.getName().cStr(),
-                    in.getPool().cStr(),
-                    in.getAddress().cStr(),
-                    in.getState().cStr(),
-                    in.getMemory(),
-                    in.getReserved(),
-                    {}};
+EndpointSummary ReadEndpoint(rpc::EndpointStatus::Reader in) {
+  EndpointSummary summary{in.getName().cStr(),
+                          in.getPool().cStr(),
+                          in.getAddress().cStr(),
+                          in.getState().cStr(),
+                          in.getMemory(),
+                          in.getReserved(),
+                          {}};
   for (const auto unit : in.getUnits()) {
-    line.units.emplace_back(unit.getUnit().cStr(), unit.getState().cStr());
+    summary.units.emplace_back(unit.getUnit().cStr(), unit.getState().cStr());
   }
-  return line;
+  return summary;
 }
 
 }  // namespace
@@ -42,7 +42,7 @@
   auto Wait(Promise&& promise) {
     return client.getIoProvider()
         .getTimer()
-        .timeoutAfter(kCallTime, kj::mv(promise))
+        .timeoutAfter(kCallTimeout, kj::mv(promise))
         .wait(client.getWaitScope());
   }
 
@@ -54,18 +54,18 @@
 
 OperatorClient::~OperatorClient() = default;
 
-std::variant<ChangeResult, CallFailed> OperatorClient::Change(const ChangeRequest& request) {
+std::variant<ChangeResult, CallFailure> OperatorClient::Change(const ChangeRequest& request) {
   try {
     auto call = impl_->node.changeRequest();
     Write(request, call.initRequest());
     const auto response = impl_->Wait(call.send());
     return Read(response.getResult());
   } catch (const kj::Exception& error) {
-    return CallFailed{error.getDescription().cStr()};
+    return CallFailure{error.getDescription().cStr()};
   }
 }
 
-std::variant<Configuration, CallFailed> OperatorClient::Get() {
+std::variant<Configuration, CallFailure> OperatorClient::Get() {
   try {
     const auto response = impl_->Wait(impl_->node.getRequest().send());
     const std::string text = response.getConfiguration().getJson().cStr();
@@ -73,37 +73,37 @@
       return Configuration();
     }
     auto parsed = ParseJsonObject(text, "/");
-    if (auto* mistakes = std::get_if<JsonErrors>(&parsed)) {
-      return CallFailed{mistakes->front().Text()};
+    if (auto* errors = std::get_if<JsonErrors>(&parsed)) {
+      return CallFailure{errors->front().Text()};
     }
     auto read = ConfigurationFromJson(std::get<boost::json::object>(parsed));
-    if (auto* mistakes = std::get_if<JsonErrors>(&read)) {
-      return CallFailed{mistakes->front().Text()};
+    if (auto* errors = std::get_if<JsonErrors>(&read)) {
+      return CallFailure{errors->front().Text()};
     }
     return std::move(std::get<Configuration>(read));
   } catch (const kj::Exception& error) {
-    return CallFailed{error.getDescription().cStr()};
+    return CallFailure{error.getDescription().cStr()};
   }
 }
 
-std::variant<StatusLines, CallFailed> OperatorClient::Status() {
+std::variant<StatusSummary, CallFailure> OperatorClient::Status() {
   try {
     const auto response = impl_->Wait(impl_->node.statusRequest().send());
     const auto status = response.getStatus();
-    StatusLines lines;
-    lines.node = ReadNode(status.getNode());
+    StatusSummary summary;
+    summary.node = ReadNode(status.getNode());
     for (const auto other : status.getOthers()) {
-      lines.others.push_back(ReadNode(other));
+      summary.others.push_back(ReadNode(other));
     }
     for (const auto endpoint : status.getEndpoints()) {
-      lines.endpoints.push_back(ReadEndpoint(endpoint));
+      summary.endpoints.push_back(ReadEndpoint(endpoint));
     }
     for (const auto pool : status.getHeldPools()) {
-      lines.held_pools.emplace_back(pool.cStr());
+      summary.held_pools.emplace_back(pool.cStr());
     }
-    return lines;
+    return summary;
   } catch (const kj::Exception& error) {
-    return CallFailed{error.getDescription().cStr()};
+    return CallFailure{error.getDescription().cStr()};
   }
 }
 
--- a/src/rudderloom/app/operator_client.hpp
+++ b/src/rudderloom/app/operator_client.hpp
@@ -1,4 +1,4 @@
-// A blocking client of the operators' interface, for commands.
+// A blocking client of the operator interface, used by the commands.
 #ifndef RUDDERLOOM_APP_OPERATOR_CLIENT_HPP
 #define RUDDERLOOM_APP_OPERATOR_CLIENT_HPP
 
@@ -12,12 +12,12 @@
 
 namespace rudderloom {
 
-// The daemon did not answer.
-struct CallFailed {
+// A call that the daemon did not answer, or answered with invalid data.
+struct CallFailure {
   std::string message;
 };
 
-struct NodeLine {
+struct NodeSummary {
   std::string name;
   std::string address;
   std::string availability_zone;
@@ -26,7 +26,7 @@
   bool stopping = false;
 };
 
-struct EndpointLine {
+struct EndpointSummary {
   std::string name;
   std::string pool;
   std::string address;
@@ -36,10 +36,10 @@
   std::vector<std::pair<std::string, std::string>> units;  // unit and state
 };
 
-struct StatusLines {
-  NodeLine node;
-  std::vector<NodeLine> others;
-  std::vector<EndpointLine> endpoints;
+struct StatusSummary {
+  NodeSummary node;
+  std::vector<NodeSummary> others;
+  std::vector<EndpointSummary> endpoints;
   std::vector<std::string> held_pools;
 };
 
@@ -48,9 +48,9 @@
   explicit OperatorClient(const std::string& daemon);
   ~OperatorClient();
 
-  std::variant<ChangeResult, CallFailed> Change(const ChangeRequest& request);
-  std::variant<Configuration, CallFailed> Get();
-  std::variant<StatusLines, CallFailed> Status();
+  std::variant<ChangeResult, CallFailure> Change(const ChangeRequest& request);
+  std::variant<Configuration, CallFailure> Get();
+  std::variant<StatusSummary, CallFailure> Status();
 
  private:
   struct Impl;
--- a/src/rudderloom/app/output.cpp
+++ b/src/rudderloom/app/output.cpp
@@ -12,13 +12,13 @@
 
 namespace {
 
-constexpr std::uint64_t kMebi = 1024ULL * 1024;
+constexpr std::uint64_t kMebibyte = 1024ULL * 1024;
 
 void PrintJson(const json::object& object) {
   std::cout << json::serialize(object) << "\n";
 }
 
-std::string UtcText(std::int64_t unix_seconds) {
+std::string FormatUtc(std::int64_t unix_seconds) {
   const std::time_t time = unix_seconds;
   std::tm parts{};
   gmtime_r(&time, &parts);
@@ -27,8 +27,8 @@
   return text;
 }
 
-// The items of all lists of a set, by list and name.
-std::map<std::string, json::value> ItemsOf(const DeclarationSet& set) {
+// Returns the items of all lists of a set, keyed by `list/name`.
+std::map<std::string, json::value> IndexItems(const DeclarationSet& set) {
   std::map<std::string, json::value> items;
   for (const auto& list : set) {
     if (!list.value().is_array()) {
@@ -44,7 +44,7 @@
   return items;
 }
 
-json::object NodeJson(const NodeLine& node) {
+json::object NodeJson(const NodeSummary& node) {
   return {{"name", node.name},
           {"address", node.address},
           {"availability_zone", node.availability_zone},
@@ -53,7 +53,7 @@
           {"stopping", node.stopping}};
 }
 
-json::object EndpointJson(const EndpointLine& endpoint) {
+json::object EndpointJson(const EndpointSummary& endpoint) {
   json::array units;
   for (const auto& [unit, state] : endpoint.units) {
     units.push_back(json::object{{"unit", unit}, {"state", state}});
@@ -63,7 +63,7 @@
           {"units", units}};
 }
 
-void PrintNode(const NodeLine& node) {
+void PrintNode(const NodeSummary& node) {
   std::cout << std::left << std::setw(20) << node.name << std::setw(16) << node.availability_zone
             << std::setw(24) << node.address << "generation " << node.generation
             << (node.live ? "" : "  silent") << (node.stopping ? "  stopping" : "") << "\n";
@@ -71,21 +71,22 @@
 
 }  // namespace
 
-void PrintMistakes(const JsonErrors& mistakes, bool json) {
+void PrintErrors(const JsonErrors& errors, bool json) {
   if (!json) {
-    for (const JsonError& mistake : mistakes) {
-      std::cout << mistake.Text() << "\n";
+    for (const JsonError& validation_error : errors) {
+      std::cout << validation_error.Text() << "\n";
     }
     return;
   }
   json::array list;
-  for (const JsonError& mistake : mistakes) {
-    list.push_back(json::object{{"path", mistake.path}, {"message", mistake.message}});
+  for (const JsonError& validation_error : errors) {
+    list.push_back(
+        json::object{{"path", validation_error.path}, {"message", validation_error.message}});
   }
   PrintJson({{"result", "invalid"}, {"mistakes", list}});
 }
 
-void PrintProblem(const std::string& reason, const std::string& detail, bool json) {
+void PrintFailure(const std::string& reason, const std::string& detail, bool json) {
   if (json) {
     PrintJson({{"result", reason}, {"detail", detail}});
   } else {
@@ -136,13 +137,13 @@
 }
 
 bool PrintDiff(const DeclarationSet& in_force, const DeclarationSet& files, bool json) {
-  const auto before = ItemsOf(in_force);
-  const auto after = ItemsOf(files);
+  const auto before = IndexItems(in_force);
+  const auto after = IndexItems(files);
   json::array changes;
-  const auto add = [&](const char* sign, const std::string& name) {
-    changes.push_back(json::object{{"change", sign}, {"item", name}});
+  const auto add = [&](const char* symbol, const std::string& name) {
+    changes.push_back(json::object{{"change", symbol}, {"item", name}});
     if (!json) {
-      std::cout << sign << " " << name << "\n";
+      std::cout << symbol << " " << name << "\n";
     }
   };
   for (const auto& [name, item] : after) {
@@ -167,8 +168,8 @@
 void PrintEvents(const Catalog& catalog, bool json) {
   json::array list;
   for (const auto& [name, event] : catalog.events) {
-    const std::string start = UtcText(event.start);
-    const std::string end = UtcText(event.start + event.length.count() / 1000);
+    const std::string start = FormatUtc(event.start);
+    const std::string end = FormatUtc(event.start + event.length.count() / 1000);
     json::array needs;
     std::string text;
     for (const EventNeed& need : event.needs) {
@@ -185,33 +186,33 @@
   }
 }
 
-void PrintStatusLines(const StatusLines& lines, bool json) {
+void PrintStatusSummary(const StatusSummary& summary, bool json) {
   if (json) {
-    json::array nodes{NodeJson(lines.node)};
-    for (const NodeLine& node : lines.others) {
+    json::array nodes{NodeJson(summary.node)};
+    for (const NodeSummary& node : summary.others) {
       nodes.push_back(NodeJson(node));
     }
     json::array endpoints;
-    for (const EndpointLine& endpoint : lines.endpoints) {
+    for (const EndpointSummary& endpoint : summary.endpoints) {
       endpoints.push_back(EndpointJson(endpoint));
     }
     json::array held;
-    for (const std::string& pool : lines.held_pools) {
+    for (const std::string& pool : summary.held_pools) {
       held.emplace_back(pool);
     }
     PrintJson({{"nodes", nodes}, {"endpoints", endpoints}, {"held_pools", held}});
     return;
   }
   std::cout << "entry nodes (the first one answers)\n";
-  PrintNode(lines.node);
-  for (const NodeLine& node : lines.others) {
+  PrintNode(summary.node);
+  for (const NodeSummary& node : summary.others) {
     PrintNode(node);
   }
   std::cout << "endpoints\n";
-  for (const EndpointLine& endpoint : lines.endpoints) {
+  for (const EndpointSummary& endpoint : summary.endpoints) {
     std::cout << std::left << std::setw(20) << endpoint.name << std::setw(16) << endpoint.pool
-              << std::setw(10) << endpoint.state << endpoint.reserved / kMebi << "/"
-              << endpoint.memory / kMebi << " MiB reserved ";
+              << std::setw(10) << endpoint.state << endpoint.reserved / kMebibyte << "/"
+              << endpoint.memory / kMebibyte << " MiB reserved ";
     for (const auto& [unit, state] : endpoint.units) {
       std::cout << " " << unit << (state == "resident" ? "" : "(" + state + ")");
     }
@@ -219,7 +220,7 @@
   }
 }
 
-void PauseCommand(Duration pause) {
+void BlockFor(Duration pause) {
   boost::asio::io_context context;
   boost::asio::steady_timer timer(context, pause);
   timer.wait();
--- a/src/rudderloom/app/output.hpp
+++ b/src/rudderloom/app/output.hpp
@@ -1,4 +1,4 @@
-// What the commands print: plain lines for people, or one JSON object.
+// Output of the commands: plain text or one JSON object.
 #ifndef RUDDERLOOM_APP_OUTPUT_HPP
 #define RUDDERLOOM_APP_OUTPUT_HPP
 
@@ -6,12 +6,12 @@
 #include <string>    // for string
 #include <vector>    // for vector
 
-#include "app/operator_client.hpp"  // for StatusLines
+#include "app/operator_client.hpp"  // for StatusSummary
 
 namespace rudderloom {
 
-void PrintMistakes(const JsonErrors& mistakes, bool json);
-void PrintProblem(const std::string& reason, const std::string& detail, bool json);
+void PrintErrors(const JsonErrors& errors, bool json);
+void PrintFailure(const std::string& reason, const std::string& detail, bool json);
 void PrintResult(const std::string& result,
                  std::optional<std::uint64_t> generation,
                  const std::string& detail,
@@ -20,11 +20,11 @@
                   const std::vector<std::string>& behind,
                   std::size_t nodes,
                   bool json);
-// Gives whether there was a difference.
+// Returns true when the two sets differ.
 bool PrintDiff(const DeclarationSet& in_force, const DeclarationSet& files, bool json);
 void PrintEvents(const Catalog& catalog, bool json);
-void PrintStatusLines(const StatusLines& lines, bool json);
-void PauseCommand(Duration pause);
+void PrintStatusSummary(const StatusSummary& summary, bool json);
+void BlockFor(Duration pause);
 
 }  // namespace rudderloom
 
