--- a/src/standin/expected_answer.cpp
+++ b/src/standin/expected_answer.cpp
@@ -9,8 +9,8 @@
   boost::hash_combine(seed, std::string(model));
   boost::hash_combine(seed, std::string(prompt));
   boost::hash_combine(seed, index);
-  constexpr std::size_t kVocabulary = 50'000;
-  return "t" + std::to_string(seed % kVocabulary) + " ";
+  constexpr std::size_t kVocabularySize = 50'000;
+  return "t" + std::to_string(seed % kVocabularySize) + " ";
 }
 
 std::string ExpectedText(std::string_view model, std::string_view prompt, std::int64_t count) {
--- a/src/standin/expected_answer.hpp
+++ b/src/standin/expected_answer.hpp
@@ -1,4 +1,6 @@
-// The answer that a stand-in engine gives, as a pure function, so that the load tool can check it.
+/// @file
+/// The deterministic answer of the engine stand-in, a pure function of model and prompt. The load
+/// tool computes the same answer to verify what it receives.
 #ifndef RUDDERLOOM_STANDIN_EXPECTED_ANSWER_HPP
 #define RUDDERLOOM_STANDIN_EXPECTED_ANSWER_HPP
 
@@ -8,10 +10,10 @@
 
 namespace rudderloom::standin {
 
-// Token number `index` (from 0) of the answer of `model` to `prompt`.
+/// @brief Returns token `index` (from 0) of the answer that `model` gives to `prompt`.
 std::string ExpectedToken(std::string_view model, std::string_view prompt, std::int64_t index);
 
-// The first `count` tokens joined.
+/// @brief Returns the first `count` tokens of that answer, concatenated.
 std::string ExpectedText(std::string_view model, std::string_view prompt, std::int64_t count);
 
 }  // namespace rudderloom::standin
--- a/src/standin/main.cpp
+++ b/src/standin/main.cpp
@@ -1,4 +1,5 @@
-// rudderloom_standin: small stand-ins for the platform, an engine, a service and the weight store.
+// rudderloom_standin: stand-ins for the platform, a model engine, a plain service and the weight
+// store, for tests and demos.
 #include <cxxopts.hpp>  // for Options
 #include <iostream>     // for cerr
 
@@ -8,7 +9,7 @@
 
 namespace {
 
-constexpr int kUsage = 64;
+constexpr int kExitUsage = 64;
 
 using rudderloom::standin::Options;
 
@@ -25,23 +26,23 @@
   options.slots = parsed["slots"].as<std::int64_t>();
   options.token_ms = parsed["token-ms"].as<std::int64_t>();
   options.load_ms = parsed["load-ms"].as<std::int64_t>();
-  options.checks_fences = parsed["checks-fences"].as<bool>();
+  options.checks_fencing = parsed["checks-fences"].as<bool>();
   options.loads_per_second = parsed["loads-per-second"].as<std::int64_t>();
   return options;
 }
 
-int Run(const std::string& what, const Options& options) {
-  if (what == "platform") {
+int Run(const std::string& role, const Options& options) {
+  if (role == "platform") {
     rudderloom::standin::RunPlatform(options);
-  } else if (what == "endpoint") {
+  } else if (role == "endpoint") {
     rudderloom::standin::RunEndpoint(options);
-  } else if (what == "service") {
+  } else if (role == "service") {
     rudderloom::standin::RunService(options);
-  } else if (what == "weight-store") {
+  } else if (role == "weight-store") {
     rudderloom::standin::RunWeightStore(options);
   } else {
-    std::cerr << "no stand-in of that name: " << what << "\n";
-    return kUsage;
+    std::cerr << "unknown stand-in: " << role << "\n";
+    return kExitUsage;
   }
   return 0;
 }
@@ -50,21 +51,25 @@
 
 int main(int argc, char** argv) {
   cxxopts::Options parser("rudderloom_standin", "platform | endpoint | service | weight-store");
-  parser.add_options()("what", "which stand-in", cxxopts::value<std::string>()->default_value(""))(
-      "name", "name in the platform", cxxopts::value<std::string>()->default_value("standin"))(
-      "port", "0: taken from the kernel", cxxopts::value<std::uint16_t>()->default_value("0"))(
+  parser.add_options()("what", "stand-in to run", cxxopts::value<std::string>()->default_value(""))(
+      "name", "name registered in the platform",
+      cxxopts::value<std::string>()->default_value("standin"))(
+      "port", "listening port, 0: any free port",
+      cxxopts::value<std::uint16_t>()->default_value("0"))(
       "platform", "address of the platform", cxxopts::value<std::string>()->default_value(""))(
-      "weight-store", "its address", cxxopts::value<std::string>()->default_value(""))(
+      "weight-store", "address of the weight store",
+      cxxopts::value<std::string>()->default_value(""))(
       "pool", "pool of the endpoint", cxxopts::value<std::string>()->default_value("default"))(
       "zone", "availability zone", cxxopts::value<std::string>()->default_value("zone-a"))(
       "service", "name of the service", cxxopts::value<std::string>()->default_value(""))(
       "memory", "accelerator memory", cxxopts::value<std::string>()->default_value("24GiB"))(
-      "slots", "requests at once", cxxopts::value<std::int64_t>()->default_value("8"))(
-      "token-ms", "time of one token", cxxopts::value<std::int64_t>()->default_value("5"))(
-      "load-ms", "time of one load", cxxopts::value<std::int64_t>()->default_value("1000"))(
-      "loads-per-second", "weight store", cxxopts::value<std::int64_t>()->default_value("2"))(
-      "checks-fences", "the endpoint checks fences",
-      cxxopts::value<bool>()->default_value("false"))("help", "print this");
+      "slots", "concurrent requests", cxxopts::value<std::int64_t>()->default_value("8"))(
+      "token-ms", "milliseconds per token", cxxopts::value<std::int64_t>()->default_value("5"))(
+      "load-ms", "milliseconds per load", cxxopts::value<std::int64_t>()->default_value("1000"))(
+      "loads-per-second", "downloads per second from the weight store",
+      cxxopts::value<std::int64_t>()->default_value("2"))(
+      "checks-fences", "reject orders with an outdated fencing token",
+      cxxopts::value<bool>()->default_value("false"))("help", "print this help");
   parser.parse_positional({"what"});
   try {
     const cxxopts::ParseResult parsed = parser.parse(argc, argv);
@@ -76,6 +81,6 @@
     return Run(parsed["what"].as<std::string>(), ReadOptions(parsed));
   } catch (const std::exception& error) {
     std::cerr << error.what() << "\n";
-    return kUsage;
+    return kExitUsage;
   }
 }
--- a/src/standin/service.cpp
+++ b/src/standin/service.cpp
@@ -1,4 +1,4 @@
-// A plain service: counts how often each call ran, by its call id. A call to `/end` ends the
+// A plain service that counts the executions of each call id. A request to `/end` exits the
 // process.
 #include <cstdlib>  // for _Exit
 #include <map>      // for map
@@ -10,62 +10,62 @@
 namespace json = boost::json;
 
 namespace {
-constexpr int kEndedByCall = 3;  // exit status
+constexpr int kExitEndedByRequest = 3;
 }
 
 void RunService(const Options& options) {
-  Frame frame;
-  std::map<std::string, std::int64_t> runs;
+  StandinRuntime runtime;
+  std::map<std::string, std::int64_t> run_counts;
   std::string address;
   std::string state = "live";
-  auto handle = [&](HttpExchange& exchange) -> Awaitable<void> {
+  auto handle_request = [&](HttpExchange& exchange) -> Awaitable<void> {
     const HttpRequest& request = exchange.Request();
     if (request.target() == "/load") {
       const json::object report{{"name", options.name}, {"state", state}, {"slots", options.slots}};
       co_await exchange.Send(JsonReply(200, report));
       co_return;
     }
-    if (frame.faults.Take("close_before_run")) {
+    if (runtime.faults.ConsumeOne("close_before_run")) {
       exchange.Abort();
       co_return;
     }
     if (request.target() == "/end") {
-      std::_Exit(kEndedByCall);
+      std::_Exit(kExitEndedByRequest);
     }
-    const std::string call(request["X-Call-Id"]);
-    const std::int64_t count = ++runs[call];
-    co_await Pause(frame.context, std::max<std::int64_t>(options.token_ms, 1));
-    if (frame.faults.Take("lose_answer")) {
+    const std::string call_id(request["X-Call-Id"]);
+    const std::int64_t count = ++run_counts[call_id];
+    co_await SleepFor(runtime.context, std::max<std::int64_t>(options.token_ms, 1));
+    if (runtime.faults.ConsumeOne("lose_answer")) {
       exchange.Abort();
       co_return;
     }
     Reply reply = JsonReply(200, {{"service", options.service},
                                   {"target", std::string(request.target())},
-                                  {"call", call},
+                                  {"call", call_id},
                                   {"count", count}});
     if (state != "live") {
       reply.headers.emplace_back("X-Endpoint-State", state);
     }
     co_await exchange.Send(std::move(reply));
   };
-  auto stats = [&] {
+  auto collect_stats = [&] {
     json::object counts;
-    std::int64_t doubled = 0;
-    for (const auto& [call, count] : runs) {
-      counts[call] = count;
-      doubled += count > 1 ? 1 : 0;
+    std::int64_t repeated = 0;
+    for (const auto& [call_id, count] : run_counts) {
+      counts[call_id] = count;
+      repeated += count > 1 ? 1 : 0;
     }
-    return json::object{{"calls", counts.size()}, {"doubled", doubled}, {"runs", counts}};
+    return json::object{{"calls", counts.size()}, {"doubled", repeated}, {"runs", counts}};
   };
-  auto started = [&](std::string listening) -> Awaitable<void> {
-    address = listening;
-    co_await Announce(frame, options, address, "live");
+  auto on_started = [&](std::string listen_address) -> Awaitable<void> {
+    address = listen_address;
+    co_await RegisterEndpoint(runtime, options, address, "live");
   };
-  auto leaving = [&]() -> Awaitable<void> {
+  auto on_stopping = [&]() -> Awaitable<void> {
     state = "leaving";
-    co_await Announce(frame, options, address, "leaving");
+    co_await RegisterEndpoint(runtime, options, address, "leaving");
   };
-  frame.Run(options, handle, stats, started, leaving);
+  runtime.Run(options, handle_request, collect_stats, on_started, on_stopping);
 }
 
 }  // namespace rudderloom::standin
--- a/src/standin/standin.cpp
+++ b/src/standin/standin.cpp
@@ -8,9 +8,9 @@
 namespace json = boost::json;
 
 namespace {
-constexpr std::int64_t kStopPollMs = 20;
-constexpr int kAnnounceTries = 50;
-constexpr std::int64_t kAnnouncePauseMs = 100;
+constexpr std::int64_t kPollIntervalMs = 20;
+constexpr int kRegisterAttempts = 50;
+constexpr std::int64_t kRegisterRetryDelayMs = 100;
 }  // namespace
 
 void Faults::Set(const json::object& values) {
@@ -30,28 +30,29 @@
   return found->is_int64() ? found->as_int64() : 0;
 }
 
-bool Faults::Take(std::string_view name) {
-  const std::int64_t left = Get(name);
-  if (left <= 0) {
+bool Faults::ConsumeOne(std::string_view name) {
+  const std::int64_t remaining = Get(name);
+  if (remaining <= 0) {
     return false;
   }
-  values_[json::string_view(name.data(), name.size())] = left - 1;
+  values_[json::string_view(name.data(), name.size())] = remaining - 1;
   return true;
 }
 
-bool Bucket::Take() {
+bool TokenBucket::TryAcquire() {
   const TimePoint now = Now();
-  const double seconds = std::chrono::duration<double>(now - last_).count();
-  last_ = now;
-  level_ = std::min(static_cast<double>(rate_), level_ + seconds * static_cast<double>(rate_));
-  if (level_ < 1.0) {
+  const double seconds = std::chrono::duration<double>(now - last_refill_).count();
+  last_refill_ = now;
+  available_ =
+      std::min(static_cast<double>(rate_), available_ + seconds * static_cast<double>(rate_));
+  if (available_ < 1.0) {
     return false;
   }
-  level_ -= 1.0;
+  available_ -= 1.0;
   return true;
 }
 
-Awaitable<void> Pause(asio::io_context& context, std::int64_t milliseconds) {
+Awaitable<void> SleepFor(asio::io_context& context, std::int64_t milliseconds) {
   Timer timer(context, Duration(milliseconds));
   co_await timer.async_wait(kAsTuple);
 }
@@ -63,10 +64,10 @@
   return reply;
 }
 
-Awaitable<void> Announce(Frame& frame,
-                         const Options& options,
-                         std::string address,
-                         std::string state) {
+Awaitable<void> RegisterEndpoint(StandinRuntime& runtime,
+                                 const Options& options,
+                                 std::string address,
+                                 std::string state) {
   if (options.platform.empty()) {
     co_return;
   }
@@ -76,28 +77,28 @@
                           {"memory", options.memory},
                           {"slots", options.slots},
                           {"service", options.service},
-                          {"checksFences", options.checks_fences},
+                          {"checksFences", options.checks_fencing},
                           {"state", state}};
   const json::object object{{"metadata", {{"name", options.name}}}, {"spec", spec}};
   const std::string target = "/apis/rudderloom/v1/endpoints/" + options.name;
-  for (int i = 0; i < kAnnounceTries; ++i) {
+  for (int i = 0; i < kRegisterAttempts; ++i) {
     HttpRequest request =
         MakeRequest(http::verb::put, options.platform, target, json::serialize(object));
-    auto answer = co_await frame.client.Call(options.platform, std::move(request), CallTimes{},
-                                             Reuse::kNever);
+    auto answer = co_await runtime.client.Call(options.platform, std::move(request), CallTimes{},
+                                               Reuse::kNever);
     const auto* response = std::get_if<HttpResponse>(&answer);
     if (response != nullptr && response->result_int() < 300) {
       co_return;
     }
-    co_await Pause(frame.context, kAnnouncePauseMs);
+    co_await SleepFor(runtime.context, kRegisterRetryDelayMs);
   }
 }
 
-void Frame::Run(const Options& options,
-                std::function<Awaitable<void>(HttpExchange&)> handle,
-                std::function<json::object()> stats,
-                const std::function<Awaitable<void>(std::string)>& started,
-                std::function<Awaitable<void>()> leaving) {
+void StandinRuntime::Run(const Options& options,
+                         std::function<Awaitable<void>(HttpExchange&)> handle_request,
+                         std::function<json::object()> collect_stats,
+                         const std::function<Awaitable<void>(std::string)>& on_started,
+                         std::function<Awaitable<void>()> on_stopping) {
   HttpHandlers handlers;
   handlers.handle = [&](HttpExchange& exchange) -> Awaitable<void> {
     const std::string target(exchange.Request().target());
@@ -108,14 +109,14 @@
       co_return;
     }
     if (target == "/stats") {
-      co_await exchange.Send(JsonReply(200, stats()));
+      co_await exchange.Send(JsonReply(200, collect_stats()));
       co_return;
     }
     if (faults.Get("delay_ms") > 0) {
-      co_await Pause(context, faults.Get("delay_ms"));
+      co_await SleepFor(context, faults.Get("delay_ms"));
     }
     while (faults.Get("hang") > 0) {
-      co_await Pause(context, kStopPollMs);
+      co_await SleepFor(context, kPollIntervalMs);
     }
     if (faults.Get("refuse") > 0) {
       exchange.Abort();
@@ -125,7 +126,7 @@
       co_await exchange.Send(JsonReply(static_cast<unsigned>(faults.Get("status")), {}));
       co_return;
     }
-    co_await handle(exchange);
+    co_await handle_request(exchange);
   };
   handlers.read_failure = [](ReadFailure) { return JsonReply(400, {}); };
   HttpLimits limits;
@@ -134,12 +135,12 @@
   const std::uint16_t port = server->Listen(options.address, options.port);
   const std::string address = options.address + ":" + std::to_string(port);
   std::cout << "ready " << address << std::endl;
-  asio::co_spawn(context, started(address), asio::detached);
+  asio::co_spawn(context, on_started(address), asio::detached);
   asio::signal_set signals(context, SIGTERM, SIGINT);
   auto stop = [&]() -> Awaitable<void> {
-    co_await leaving();
+    co_await on_stopping();
     while (server->Active() > 0) {
-      co_await Pause(context, kStopPollMs);
+      co_await SleepFor(context, kPollIntervalMs);
     }
     server->Stop();
     context.stop();
