--- a/src/load/scenario.hpp
+++ b/src/load/scenario.hpp
@@ -1,4 +1,5 @@
-// What the load tool is asked to send.
+/// @file
+/// Scenario of the load tool: which requests to send, how many and where.
 #ifndef RUDDERLOOM_LOAD_SCENARIO_HPP
 #define RUDDERLOOM_LOAD_SCENARIO_HPP
 
@@ -12,37 +13,39 @@
 
 namespace rudderloom::load {
 
-// One kind of request in the mix.
-struct Part {
+/// @brief One class of requests in the traffic mix.
+struct TrafficClass {
   enum class Type { kChat, kCompletion, kService };
   std::string name;
   Type type = Type::kChat;
   double weight = 1.0;
-  std::string model;  // or service
+  std::string target_name;  // model, or service for Type::kService
   std::string method = "POST";
   std::string path = "/";
-  std::string kind;  // X-Request-Kind, may be empty
+  std::string request_kind;  // X-Request-Kind; empty: header not sent
   std::string caller = "load";
   bool stream = false;
-  bool keyed = false;  // with an Idempotency-Key
+  bool idempotent = false;  // sent with an Idempotency-Key
   std::int64_t tokens = 16;
-  std::int64_t prompts = 50;  // different prompts; shared ones share their prefix
-  std::int64_t tries = 1;     // how often a refused request is sent, after its Retry-After
-  Duration deadline{10'000};  // for attainment
-  // Start and end of this part's traffic within the run; an empty span means the whole run.
-  Duration from{0};
-  Duration until{0};
+  std::int64_t distinct_prompts = 50;  // requests with the same prompt share their prefix
+  std::int64_t max_attempts = 1;       // including the first; retries follow one second apart
+  Duration deadline{10'000};           // answers later than this do not count as in time
+  // Start and end of this class's traffic, from the start of the run. An end of 0: until it ends.
+  Duration start_offset{0};
+  Duration end_offset{0};
 };
 
+/// @brief The whole load run.
 struct Scenario {
-  std::vector<std::string> targets;   // callers' addresses of entry nodes
-  std::vector<std::string> services;  // stand-ins that count how often each call ran
-  double rate = 10.0;                 // requests a second over all parts
-  Duration length{5'000};
+  std::vector<std::string> entry_nodes;       // addresses where entry nodes take requests
+  std::vector<std::string> service_standins;  // they count the runs of each call
+  double request_rate = 10.0;                 // requests per second over all classes
+  Duration duration{5'000};
   std::uint64_t seed = 1;
-  std::vector<Part> mix;
+  std::vector<TrafficClass> mix;
 };
 
+/// @brief Parses a scenario from JSON, or returns all errors in it.
 std::variant<Scenario, JsonErrors> ParseScenario(std::string_view text);
 
 }  // namespace rudderloom::load
--- a/src/load/sender.cpp
+++ b/src/load/sender.cpp
@@ -8,140 +8,147 @@
 
 namespace {
 
-constexpr Duration kAnswerTime{120'000};
+constexpr Duration kResponseTimeout{120'000};
 
-std::string PromptOf(const Asked& asked) {
-  return "prompt number " + std::to_string(asked.prompt);
+std::string PromptText(const RequestSpec& spec) {
+  return "prompt number " + std::to_string(spec.prompt_number);
 }
 
-json::array MessagesOf(const Asked& asked) {
-  return {json::object{{"role", "user"}, {"content", PromptOf(asked)}}};
+json::array ChatMessages(const RequestSpec& spec) {
+  return {json::object{{"role", "user"}, {"content", PromptText(spec)}}};
 }
 
-std::string CallIdOf(const Scenario& scenario, const Asked& asked) {
-  return "call-" + std::to_string(scenario.seed) + "-" + std::to_string(asked.number);
+std::string CallId(const Scenario& scenario, const RequestSpec& spec) {
+  return "call-" + std::to_string(scenario.seed) + "-" + std::to_string(spec.number);
 }
 
-// What the stand-in engine hashes of the request.
-std::string HashedPrompt(const Part& part, const Asked& asked) {
-  return part.type == Part::Type::kChat ? json::serialize(MessagesOf(asked)) : PromptOf(asked);
+// The prompt as the engine stand-in hashes it: chat messages are hashed as their JSON text.
+std::string HashedPrompt(const TrafficClass& traffic, const RequestSpec& spec) {
+  return traffic.type == TrafficClass::Type::kChat ? json::serialize(ChatMessages(spec))
+                                                   : PromptText(spec);
 }
 
-// The text that one chunk of a stream adds.
+// Extracts the text of one chunk of a stream.
 std::string ChunkText(const json::object& chunk, bool chat) {
   const json::value* choices = chunk.if_contains("choices");
   if (choices == nullptr || !choices->is_array() || choices->as_array().empty()) {
     return "";
   }
   const json::object& choice = choices->as_array().front().as_object();
-  const json::value* holder = chat ? choice.if_contains("delta") : &choices->as_array().front();
-  if (holder == nullptr || !holder->is_object()) {
+  const json::value* text_parent =
+      chat ? choice.if_contains("delta") : &choices->as_array().front();
+  if (text_parent == nullptr || !text_parent->is_object()) {
     return "";
   }
-  const json::value* text = holder->as_object().if_contains(chat ? "content" : "text");
+  const json::value* text = text_parent->as_object().if_contains(chat ? "content" : "text");
   return text != nullptr && text->is_string() ? std::string(text->as_string()) : "";
 }
 
-void SetError(Outcome& outcome, Ending ending, const std::string& reason) {
-  outcome.ending = ending;
+void SetFailure(Outcome& outcome, RequestResult result, const std::string& reason) {
+  outcome.result = result;
   outcome.reason = reason;
 }
 
 }  // namespace
 
-HttpRequest Sender::Make(const Asked& asked, const std::string& target) const {
-  const Part& part = scenario_.mix[asked.part];
+HttpRequest Sender::BuildRequest(const RequestSpec& spec, const std::string& target) const {
+  const TrafficClass& traffic = scenario_.mix[spec.class_index];
   HttpRequest request;
-  if (part.type == Part::Type::kService) {
-    request = MakeRequest(http::string_to_verb(part.method), target,
-                          "/services/" + part.model + part.path, R"({"load":true})");
-    request.set("X-Call-Id", CallIdOf(scenario_, asked));
-    if (part.keyed) {
-      request.set("Idempotency-Key", CallIdOf(scenario_, asked));
+  if (traffic.type == TrafficClass::Type::kService) {
+    request = MakeRequest(http::string_to_verb(traffic.method), target,
+                          "/services/" + traffic.target_name + traffic.path, R"({"load":true})");
+    request.set("X-Call-Id", CallId(scenario_, spec));
+    if (traffic.idempotent) {
+      request.set("Idempotency-Key", CallId(scenario_, spec));
     }
   } else {
-    const bool chat = part.type == Part::Type::kChat;
-    json::object body{{"model", part.model}, {"max_tokens", part.tokens}, {"stream", part.stream}};
+    const bool chat = traffic.type == TrafficClass::Type::kChat;
+    json::object body{
+        {"model", traffic.target_name}, {"max_tokens", traffic.tokens}, {"stream", traffic.stream}};
     if (chat) {
-      body["messages"] = MessagesOf(asked);
+      body["messages"] = ChatMessages(spec);
     } else {
-      body["prompt"] = PromptOf(asked);
+      body["prompt"] = PromptText(spec);
     }
     request = MakeRequest(http::verb::post, target,
                           chat ? "/v1/chat/completions" : "/v1/completions", json::serialize(body));
   }
-  request.set("X-Caller", part.caller);
-  if (!part.kind.empty()) {
-    request.set("X-Request-Kind", part.kind);
+  request.set("X-Caller", traffic.caller);
+  if (!traffic.request_kind.empty()) {
+    request.set("X-Request-Kind", traffic.request_kind);
   }
   return request;
 }
 
-Awaitable<Outcome> Sender::Send(Asked asked) {
-  const Part& part = scenario_.mix[asked.part];
+Awaitable<Outcome> Sender::Send(RequestSpec spec) {
+  const TrafficClass& traffic = scenario_.mix[spec.class_index];
   Outcome outcome;
-  outcome.part = asked.part;
-  if (part.type == Part::Type::kService) {
-    outcome.call_id = CallIdOf(scenario_, asked);
+  outcome.class_index = spec.class_index;
+  if (traffic.type == TrafficClass::Type::kService) {
+    outcome.call_id = CallId(scenario_, spec);
   }
   const TimePoint started = Now();
-  Duration first{0};
-  for (outcome.tries = 1;; ++outcome.tries) {
-    co_await SendOnce(asked, outcome);
-    first = outcome.first + Between(started, Now()) - outcome.total;
-    // As SDKs do: a failure that shows is tried again, unless the call may not be repeated.
-    const bool repeatable = part.keyed || part.type != Part::Type::kService;
-    const bool again = outcome.ending == Ending::kRefused ||
-                       outcome.ending == Ending::kUnconnected ||
-                       (outcome.ending == Ending::kVisibleError && repeatable);
-    if (!again || outcome.tries >= part.tries) {
+  Duration time_to_first_token{0};
+  for (outcome.attempt_count = 1;; ++outcome.attempt_count) {
+    co_await SendAttempt(spec, outcome);
+    time_to_first_token =
+        outcome.time_to_first_token + Between(started, Now()) - outcome.total_time;
+    // Like common SDKs, retries every failure except an error of a call that is not safe to repeat.
+    const bool repeatable = traffic.idempotent || traffic.type != TrafficClass::Type::kService;
+    const bool should_retry = outcome.result == RequestResult::kRefused ||
+                              outcome.result == RequestResult::kNotConnected ||
+                              (outcome.result == RequestResult::kReportedError && repeatable);
+    if (!should_retry || outcome.attempt_count >= traffic.max_attempts) {
       break;
     }
     Timer pause(context_, std::chrono::seconds(1));
     co_await pause.async_wait(kAsTuple);
-    ++asked.target;
+    ++spec.node_index;
   }
-  outcome.first = first;
-  outcome.total = Between(started, Now());
+  outcome.time_to_first_token = time_to_first_token;
+  outcome.total_time = Between(started, Now());
   co_return outcome;
 }
 
-// One try. Like a balancer, it goes on to the next entry node while none takes the connection.
-Awaitable<void> Sender::SendOnce(const Asked& asked, Outcome& outcome) {
+// Makes one attempt. Like a load balancer, it tries the next entry node while connecting fails.
+Awaitable<void> Sender::SendAttempt(const RequestSpec& spec, Outcome& outcome) {
   const TimePoint started = Now();
   CallTimes times;
   times.connect = Duration(500);
-  times.first_byte = kAnswerTime;
-  times.between = kAnswerTime;
-  for (std::size_t i = 0; i < scenario_.targets.size(); ++i) {
-    const std::string& target = scenario_.targets[(asked.target + i) % scenario_.targets.size()];
-    HttpRequest request = Make(asked, target);
+  times.first_byte = kResponseTimeout;
+  times.between = kResponseTimeout;
+  for (std::size_t i = 0; i < scenario_.entry_nodes.size(); ++i) {
+    const std::string& target =
+        scenario_.entry_nodes[(spec.node_index + i) % scenario_.entry_nodes.size()];
+    HttpRequest request = BuildRequest(spec, target);
     auto opened = co_await client_.Open(target, std::move(request), times, Reuse::kNever);
     if (auto* failure = std::get_if<HttpFailure>(&opened)) {
       if (failure->may_have_left) {
-        outcome.all_said_not_run = false;
-        SetError(outcome, Ending::kVisibleError, "cut");
-        outcome.total = Between(started, Now());
+        outcome.all_refusals_said_not_run = false;
+        SetFailure(outcome, RequestResult::kReportedError, "cut");
+        outcome.total_time = Between(started, Now());
         co_return;
       }
-      SetError(outcome, Ending::kUnconnected, "unconnected");
+      SetFailure(outcome, RequestResult::kNotConnected, "unconnected");
       continue;
     }
     auto answer = std::move(std::get<std::unique_ptr<HttpStream>>(opened));
-    outcome.first = Between(started, Now());
-    co_await ReadAnswer(asked, *answer, outcome);
+    outcome.time_to_first_token = Between(started, Now());
+    co_await ReadResponse(spec, *answer, outcome);
     break;
   }
-  outcome.total = Between(started, Now());
+  outcome.total_time = Between(started, Now());
 }
 
-Awaitable<void> Sender::ReadAnswer(const Asked& asked, HttpStream& answer, Outcome& outcome) {
+Awaitable<void> Sender::ReadResponse(const RequestSpec& spec,
+                                     HttpStream& answer,
+                                     Outcome& outcome) {
   std::string body;
   while (true) {
     auto piece = co_await answer.ReadSome();
     if (std::holds_alternative<HttpFailure>(piece)) {
-      outcome.all_said_not_run = false;
-      SetError(outcome, Ending::kVisibleError, "cut");
+      outcome.all_refusals_said_not_run = false;
+      SetFailure(outcome, RequestResult::kReportedError, "cut");
       co_return;
     }
     if (std::holds_alternative<HttpStream::End>(piece)) {
@@ -150,110 +157,111 @@
     body += std::get<std::string>(piece);
   }
   if (answer.Header("Content-Type") == "application/problem+json") {
-    outcome.ending = Ending::kRefused;
+    outcome.result = RequestResult::kRefused;
     const json::object problem = json::parse(body).as_object();
     outcome.reason = std::string(problem.at("reason").as_string());
     outcome.ran = std::string(problem.at("ran").as_string());
-    outcome.all_said_not_run = outcome.all_said_not_run && outcome.ran == "no";
+    outcome.all_refusals_said_not_run = outcome.all_refusals_said_not_run && outcome.ran == "no";
     outcome.retry_after_missing = answer.Header("Retry-After").empty();
     co_return;
   }
   if (answer.Status() != 200) {
-    outcome.all_said_not_run = false;
-    SetError(outcome, Ending::kVisibleError, "status_" + std::to_string(answer.Status()));
+    outcome.all_refusals_said_not_run = false;
+    SetFailure(outcome, RequestResult::kReportedError, "status_" + std::to_string(answer.Status()));
     co_return;
   }
-  if (scenario_.mix[asked.part].stream) {
-    CheckStream(asked, body, outcome);
+  if (scenario_.mix[spec.class_index].stream) {
+    CheckStream(spec, body, outcome);
   } else {
-    CheckWhole(asked, body, outcome);
+    CheckBody(spec, body, outcome);
   }
 }
 
-void Sender::CheckText(const Asked& asked,
+void Sender::CheckText(const RequestSpec& spec,
                        const std::string& text,
-                       bool ended,
+                       bool is_final,
                        Outcome& outcome) const {
-  const Part& part = scenario_.mix[asked.part];
+  const TrafficClass& traffic = scenario_.mix[spec.class_index];
   const std::string expected =
-      standin::ExpectedText(part.model, HashedPrompt(part, asked), part.tokens);
-  if (text == expected && ended) {
-    outcome.ending = Ending::kWhole;
-    outcome.tokens = part.tokens;
+      standin::ExpectedText(traffic.target_name, HashedPrompt(traffic, spec), traffic.tokens);
+  if (text == expected && is_final) {
+    outcome.result = RequestResult::kComplete;
+    outcome.tokens = traffic.tokens;
   } else if (expected.starts_with(text)) {
-    SetError(outcome, Ending::kShort, "short");
+    SetFailure(outcome, RequestResult::kTruncated, "short");
   } else {
-    SetError(outcome, Ending::kForeign, "foreign");
+    SetFailure(outcome, RequestResult::kMismatched, "foreign");
   }
 }
 
-void Sender::CheckWhole(const Asked& asked, const std::string& body, Outcome& outcome) const {
-  const Part& part = scenario_.mix[asked.part];
+void Sender::CheckBody(const RequestSpec& spec, const std::string& body, Outcome& outcome) const {
+  const TrafficClass& traffic = scenario_.mix[spec.class_index];
   json::error_code error;
   const json::value parsed = json::parse(body, error);
   if (error || !parsed.is_object()) {
-    SetError(outcome, Ending::kShort, "not_json");
+    SetFailure(outcome, RequestResult::kTruncated, "not_json");
     return;
   }
   const json::object& object = parsed.as_object();
-  if (part.type == Part::Type::kService) {
+  if (traffic.type == TrafficClass::Type::kService) {
     const json::value* call = object.if_contains("call");
-    const bool mine = call != nullptr && call->is_string() && call->as_string() == outcome.call_id;
-    outcome.ending = mine ? Ending::kWhole : Ending::kForeign;
-    outcome.reason = mine ? "" : "foreign";
+    const bool matches =
+        call != nullptr && call->is_string() && call->as_string() == outcome.call_id;
+    outcome.result = matches ? RequestResult::kComplete : RequestResult::kMismatched;
+    outcome.reason = matches ? "" : "foreign";
     return;
   }
   const json::object& choice = object.at("choices").as_array().front().as_object();
-  const bool chat = part.type == Part::Type::kChat;
+  const bool chat = traffic.type == TrafficClass::Type::kChat;
   const json::value& text =
       chat ? choice.at("message").as_object().at("content") : choice.at("text");
-  CheckText(asked, std::string(text.as_string()), true, outcome);
+  CheckText(spec, std::string(text.as_string()), true, outcome);
 }
 
-void Sender::CheckStream(const Asked& asked, const std::string& body, Outcome& outcome) const {
-  const bool chat = scenario_.mix[asked.part].type == Part::Type::kChat;
+void Sender::CheckStream(const RequestSpec& spec, const std::string& body, Outcome& outcome) const {
+  const bool chat = scenario_.mix[spec.class_index].type == TrafficClass::Type::kChat;
   std::string text;
   bool done = false;
   std::size_t start = 0;
-  constexpr std::string_view kData = "data: ";
+  constexpr std::string_view kDataPrefix = "data: ";
   while (start < body.size()) {
     const std::size_t end = std::min(body.find('\n', start), body.size());
     const std::string_view line = std::string_view(body).substr(start, end - start);
     start = end + 1;
-    if (!line.starts_with(kData)) {
+    if (!line.starts_with(kDataPrefix)) {
       continue;
     }
-    const std::string_view data = line.substr(kData.size());
+    const std::string_view data = line.substr(kDataPrefix.size());
     if (data == "[DONE]") {
       done = true;
       continue;
     }
     const json::object chunk = json::parse({data.data(), data.size()}).as_object();
     if (chunk.contains("error")) {
-      SetError(outcome, Ending::kVisibleError, "error_event");
+      SetFailure(outcome, RequestResult::kReportedError, "error_event");
       return;
     }
     text += ChunkText(chunk, chat);
   }
-  CheckText(asked, text, done, outcome);
+  CheckText(spec, text, done, outcome);
 }
 
-Awaitable<std::map<std::string, std::int64_t>> Sender::ReadRuns(std::string address) {
-  std::map<std::string, std::int64_t> runs;
+Awaitable<std::map<std::string, std::int64_t>> Sender::FetchRunCounts(std::string address) {
+  std::map<std::string, std::int64_t> run_counts;
   HttpRequest request = MakeRequest(http::verb::get, address, "/stats");
   auto answer = co_await client_.Call(address, std::move(request), CallTimes{}, Reuse::kNever);
   const auto* response = std::get_if<HttpResponse>(&answer);
   if (response == nullptr) {
-    co_return runs;
+    co_return run_counts;
   }
   const json::object stats = json::parse(response->body()).as_object();
   for (const auto& member : stats.at("runs").as_object()) {
     const std::string call(member.key());
     if (call.starts_with("call-" + std::to_string(scenario_.seed) + "-")) {
-      runs[call] = member.value().as_int64();
+      run_counts[call] = member.value().as_int64();
     }
   }
-  co_return runs;
+  co_return run_counts;
 }
 
 }  // namespace rudderloom::load
