--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -1,4 +1,4 @@
-// rudderloom_cost: what one decision costs, by Google Benchmark, at growing sizes.
+// rudderloom_cost: measures the cost of single decisions at growing sizes with Google Benchmark.
 #include <benchmark/benchmark.h>  // for BENCHMARK
 
 #include "rudderloom/admission/admission_queue.hpp"  // for AdmissionQueue
@@ -9,7 +9,7 @@
 namespace rudderloom {
 namespace {
 
-// One model served by every endpoint: the largest set there can be.
+// Routes to one model that every endpoint serves, the largest possible serving set.
 void BM_Route(benchmark::State& state) {
   Snapshot snapshot;
   ServingSet set;
@@ -27,7 +27,7 @@
   Router router(1);
   const TimePoint now;
   RouteAsk ask;
-  for (auto step : state) {
+  for (auto iteration : state) {
     ++ask.prefix;
     const auto chosen = router.Choose(snapshot, set, ask, now);
     router.Started(*chosen);
@@ -37,12 +37,12 @@
 }
 BENCHMARK(BM_Route)->Arg(18)->Arg(180)->Arg(1600);
 
-// In and out of a queue in which `range` requests of 50 callers wait.
+// Enqueues and dequeues one request while `range` requests of 50 callers wait.
 void BM_Admit(benchmark::State& state) {
   AdmissionQueue queue(10'000);
   const TimePoint now;
   Ticket ticket = 0;
-  const auto make = [&] {
+  const auto make_applicant = [&] {
     Applicant applicant;
     applicant.ticket = ++ticket;
     applicant.target = "model";
@@ -51,10 +51,10 @@
     return applicant;
   };
   for (int i = 0; i < state.range(0); ++i) {
-    queue.Enter(make(), 1, now);
+    queue.Enter(make_applicant(), 1, now);
   }
-  for (auto step : state) {
-    queue.Enter(make(), 1, now);
+  for (auto iteration : state) {
+    queue.Enter(make_applicant(), 1, now);
     benchmark::DoNotOptimize(queue.Next([](const Applicant&) { return true; }));
   }
 }
@@ -89,38 +89,38 @@
   return input;
 }
 
-// Everything from nothing.
+// Plans the placement of all models onto empty endpoints.
 void BM_PlanWhole(benchmark::State& state) {
   const PlanInput input =
       MakeInput(static_cast<int>(state.range(0)), static_cast<int>(state.range(1)), false);
-  for (auto step : state) {
+  for (auto iteration : state) {
     benchmark::DoNotOptimize(Plan(input));
   }
 }
 BENCHMARK(BM_PlanWhole)->Args({40, 22})->Args({200, 1600})->Unit(benchmark::kMillisecond);
 
-// One endpoint of a settled pool is lost.
+// Replans after one endpoint of a fully placed pool is lost.
 void BM_PlanAgain(benchmark::State& state) {
   PlanInput input =
       MakeInput(static_cast<int>(state.range(0)), static_cast<int>(state.range(1)), true);
   input.endpoints.front().usable = false;
-  for (auto step : state) {
+  for (auto iteration : state) {
     benchmark::DoNotOptimize(Plan(input));
   }
 }
 BENCHMARK(BM_PlanAgain)->Args({40, 22})->Args({200, 1600})->Unit(benchmark::kMillisecond);
 
-// What each request on the platform's interface costs for being known when it comes again: a usual
-// body, a long prompt, and the largest that settings allow.
+// Hashes a request of the platform interface so that a repeat is recognized: a typical body, a long
+// prompt, and the largest body that the settings allow.
 void BM_RequestDigest(benchmark::State& state) {
   const std::string body(static_cast<std::size_t>(state.range(0)), 'x');
-  for (auto step : state) {
+  for (auto iteration : state) {
     benchmark::DoNotOptimize(DigestOf(RequestIdentity{"host.example", "/a/b", "member-a", body}));
   }
 }
 BENCHMARK(BM_RequestDigest)->Arg(1 << 10)->Arg(64 << 10)->Arg(4 << 20);
 
-// One more end, while a rack's end has left as many suspects as there may be.
+// Records one more crash while the failure of a rack has left the maximum number of suspects.
 void BM_CrashTaken(benchmark::State& state) {
   CrashBook book;
   const TimePoint now = TimePoint() + std::chrono::hours(1);
@@ -130,7 +130,7 @@
   }
   const RequestDigest last = DigestOf(RequestIdentity{"h", "/", "", "last"});
   std::uint32_t endpoint = 100;
-  for (auto step : state) {
+  for (auto iteration : state) {
     benchmark::DoNotOptimize(book.Take({{{last, ++endpoint}}, {}}, now));
     book.Take({{}, {last}}, now);
   }
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -12,18 +12,18 @@
 
 namespace {
 
-constexpr std::int64_t kPlanEvery = 500;
-constexpr std::int64_t kReportEvery = 500;
-constexpr std::int64_t kPumpEvery = 10;
-constexpr std::int64_t kLoadsAtOnce = 8;
-constexpr std::int64_t kBetweenLoads = 500;  // two a second
-constexpr std::int64_t kLead = 60'000;
-// Moves before this moment only bring a policy from the common start to its own steady state.
+constexpr std::int64_t kPlanInterval = 500;
+constexpr std::int64_t kSnapshotInterval = 500;
+constexpr std::int64_t kDispatchInterval = 10;
+constexpr std::int64_t kMaxConcurrentLoads = 8;
+constexpr std::int64_t kLoadInterval = 500;  // two loads per second
+constexpr std::int64_t kEventLeadTime = 60'000;
+// Moves before this time only bring a policy from the common start to its steady state.
 constexpr std::int64_t kWarmUp = 60'000;
-constexpr std::int64_t kCacheSaves = 150;  // ms that a cached prefix saves
+constexpr std::int64_t kPrefixCacheSaving = 150;  // ms saved by a cached prefix
 constexpr std::size_t kCachedPrefixes = 24;
 constexpr std::int64_t kPriorities[] = {0, 5, 8};
-constexpr double kSmoothing = 0.22;
+constexpr double kDemandSmoothing = 0.22;
 
 struct Copy {
   UnitState state = UnitState::kLoading;
@@ -35,13 +35,21 @@
   std::map<int, Copy> copies;
   int running = 0;
   bool alive = true;
-  std::vector<std::uint64_t> cache;  // prefixes, the newest last
+  std::vector<std::uint64_t> cache;  // prefixes, most recent last
 };
 
 struct Event {
   std::int64_t at;
   std::uint64_t order;
-  enum class Kind { kArrive, kFinish, kLoaded, kPlan, kReport, kPump, kLose } kind;
+  enum class Kind {
+    kArrive,
+    kFinish,
+    kLoaded,
+    kPlan,
+    kPublishSnapshots,
+    kDispatch,
+    kLoseEndpoint
+  } kind;
   std::size_t request = 0;
   int endpoint = 0;
   int model = 0;
@@ -54,44 +62,44 @@
   return TimePoint(Duration(ms));
 }
 
-// One entry node: the real router and queue, and what it knows.
+// A node with the production router and admission queue and its snapshot of the endpoints.
 struct Node {
   Node(std::size_t queue, std::uint64_t seed) : queue(queue), router(seed) {}
   AdmissionQueue queue;
   Router router;
   Snapshot snapshot;
-  std::map<Ticket, std::size_t> waiting;  // to the request
+  std::map<Ticket, std::size_t> waiting;  // index of the request
   std::vector<std::uint32_t> in_flight;
 };
 
 class Simulation {
  public:
-  Simulation(const Workload& load, Policy policy, std::uint64_t seed)
-      : load_(load), policy_(policy) {
-    endpoints_.resize(static_cast<std::size_t>(load.endpoints));
-    demand_.resize(load.models.size(), 0.0);
-    for (int i = 0; i < load.nodes; ++i) {
+  Simulation(const Workload& workload, Policy policy, std::uint64_t seed)
+      : workload_(workload), policy_(policy) {
+    endpoints_.resize(static_cast<std::size_t>(workload.endpoints));
+    demand_.resize(workload.models.size(), 0.0);
+    for (int i = 0; i < workload.nodes; ++i) {
       nodes_.push_back(std::make_unique<Node>(2'000, seed + static_cast<std::uint64_t>(i)));
       nodes_.back()->in_flight.resize(endpoints_.size(), 0);
     }
-    node_of_.resize(load.requests.size());
-    for (std::size_t i = 0; i < load.requests.size(); ++i) {
+    node_of_.resize(workload.requests.size());
+    for (std::size_t i = 0; i < workload.requests.size(); ++i) {
       node_of_[i] = i * 7919 % nodes_.size();
     }
   }
 
   Result Run() {
-    Place();
-    for (std::size_t i = 0; i < load_.requests.size(); ++i) {
-      Push(load_.requests[i].at, Event::Kind::kArrive, i);
+    PlaceInitialCopies();
+    for (std::size_t i = 0; i < workload_.requests.size(); ++i) {
+      Schedule(workload_.requests[i].arrival, Event::Kind::kArrive, i);
     }
-    for (const int lost : load_.lost) {
-      Push(load_.event_start, Event::Kind::kLose, 0, lost);
+    for (const int lost : workload_.lost_endpoints) {
+      Schedule(workload_.event_start, Event::Kind::kLoseEndpoint, 0, lost);
     }
-    Push(0, Event::Kind::kReport);
-    Push(0, Event::Kind::kPump);
-    if (policy_ == Policy::kOurs) {
-      Push(0, Event::Kind::kPlan);
+    Schedule(0, Event::Kind::kPublishSnapshots);
+    Schedule(0, Event::Kind::kDispatch);
+    if (policy_ == Policy::kRudderloom) {
+      Schedule(0, Event::Kind::kPlan);
     }
     while (!events_.empty()) {
       const Event event = events_.top();
@@ -103,19 +111,21 @@
   }
 
  private:
-  void Push(std::int64_t at,
-            Event::Kind kind,
-            std::size_t request = 0,
-            int endpoint = 0,
-            int model = 0) {
+  void Schedule(std::int64_t at,
+                Event::Kind kind,
+                std::size_t request = 0,
+                int endpoint = 0,
+                int model = 0) {
     events_.push({at, ++order_, kind, request, endpoint, model});
   }
 
   FakeEndpoint& Endpoint(int index) { return endpoints_[static_cast<std::size_t>(index)]; }
-  const ModelSpec& Model(int index) const { return load_.models[static_cast<std::size_t>(index)]; }
+  const ModelSpec& Model(int index) const {
+    return workload_.models[static_cast<std::size_t>(index)];
+  }
 
   bool Serves(int endpoint, int model) {
-    if (policy_ == Policy::kRelaxed) {
+    if (policy_ == Policy::kRelaxedBound) {
       return Endpoint(endpoint).alive;
     }
     const auto found = Endpoint(endpoint).copies.find(model);
@@ -123,7 +133,7 @@
            found->second.state == UnitState::kResident;
   }
 
-  std::uint64_t Taken(int endpoint) {
+  std::uint64_t UsedMemory(int endpoint) {
     std::uint64_t taken = 0;
     for (const auto& [model, copy] : Endpoint(endpoint).copies) {
       taken += Model(model).memory;
@@ -131,37 +141,38 @@
     return taken;
   }
 
-  // Where everything stands before the run: one copy of each model, for the static policy as many
-  // as memory holds by declared share.
-  void Place() {
-    std::vector<std::int64_t> copies(load_.models.size(), 1);
+  // Places one copy of each model before the run; for the static policy, as many copies by declared
+  // share as memory holds.
+  void PlaceInitialCopies() {
+    std::vector<std::int64_t> copies(workload_.models.size(), 1);
     std::vector<std::size_t> order;
-    for (std::size_t i = 0; i < load_.models.size(); ++i) {
+    for (std::size_t i = 0; i < workload_.models.size(); ++i) {
       order.push_back(i);
       if (policy_ == Policy::kStatic) {
         copies[i] = std::max<std::int64_t>(
-            load_.models[i].copies,
-            static_cast<std::int64_t>(load_.models[i].usual * 0.9 / load_.slots * 1.5) + 1);
+            workload_.models[i].declared_copies,
+            static_cast<std::int64_t>(workload_.models[i].base_rate * 0.9 / workload_.slots * 1.5) +
+                1);
       }
     }
     std::sort(order.begin(), order.end(), [&](std::size_t a, std::size_t b) {
-      return load_.models[a].memory > load_.models[b].memory;
+      return workload_.models[a].memory > workload_.models[b].memory;
     });
     for (std::int64_t round = 0; round < 32; ++round) {
       for (const std::size_t model : order) {
         if (round < copies[model]) {
-          PlaceOne(static_cast<int>(model));
+          PlaceCopy(static_cast<int>(model));
         }
       }
     }
   }
 
-  void PlaceOne(int model) {
+  void PlaceCopy(int model) {
     int best = -1;
-    for (int i = 0; i < load_.endpoints; ++i) {
-      const bool fits =
-          !Endpoint(i).copies.contains(model) && Taken(i) + Model(model).memory <= load_.memory;
-      if (fits && (best < 0 || Taken(i) < Taken(best))) {
+    for (int i = 0; i < workload_.endpoints; ++i) {
+      const bool fits = !Endpoint(i).copies.contains(model) &&
+                        UsedMemory(i) + Model(model).memory <= workload_.memory;
+      if (fits && (best < 0 || UsedMemory(i) < UsedMemory(best))) {
         best = i;
       }
     }
@@ -173,115 +184,116 @@
   void Handle(const Event& event) {
     switch (event.kind) {
       case Event::Kind::kArrive:
-        Arrive(event.request);
+        HandleArrival(event.request);
         break;
       case Event::Kind::kFinish:
-        Finish(event.request, event.endpoint);
+        FinishRequest(event.request, event.endpoint);
         break;
       case Event::Kind::kLoaded:
-        Loaded(event.endpoint, event.model);
+        FinishLoad(event.endpoint, event.model);
         break;
       case Event::Kind::kPlan:
-        PlanNow();
-        Again(kPlanEvery, Event::Kind::kPlan);
+        ApplyPlan();
+        ScheduleNext(kPlanInterval, Event::Kind::kPlan);
         break;
-      case Event::Kind::kReport:
-        Report();
-        Again(kReportEvery, Event::Kind::kReport);
+      case Event::Kind::kPublishSnapshots:
+        PublishSnapshots();
+        ScheduleNext(kSnapshotInterval, Event::Kind::kPublishSnapshots);
         break;
-      case Event::Kind::kPump:
-        PumpAll();
-        Again(kPumpEvery, Event::Kind::kPump);
+      case Event::Kind::kDispatch:
+        DispatchAll();
+        ScheduleNext(kDispatchInterval, Event::Kind::kDispatch);
         break;
-      case Event::Kind::kLose:
-        Lose(event.endpoint);
+      case Event::Kind::kLoseEndpoint:
+        LoseEndpoint(event.endpoint);
         break;
     }
   }
 
-  void Again(std::int64_t after, Event::Kind kind) {
-    if (now_ < load_.length + 120'000) {
-      Push(now_ + after, kind);
+  void ScheduleNext(std::int64_t after, Event::Kind kind) {
+    if (now_ < workload_.duration + 120'000) {
+      Schedule(now_ + after, kind);
     }
   }
 
-  void Refuse(const std::string& reason) { ++result_.refused[reason]; }
+  void CountRefusal(const std::string& reason) { ++result_.refused[reason]; }
 
-  void Arrive(std::size_t index) {
-    const Request& request = load_.requests[index];
-    ++result_.sent[request.kind];
-    ++present_[request.model];
-    if (policy_ == Policy::kOurs) {
-      ArriveOurs(index);
+  void HandleArrival(std::size_t index) {
+    const Request& request = workload_.requests[index];
+    ++result_.sent[request.priority_class];
+    ++active_[request.model];
+    if (policy_ == Policy::kRudderloom) {
+      EnterNode(index);
       return;
     }
     if (policy_ == Policy::kOnDemand) {
       LoadOnDemand(request.model);
     }
-    if (!StartSomewhere(index)) {
-      line_[request.kind].push_back(index);
+    if (!StartOnFreeEndpoint(index)) {
+      baseline_queues_[request.priority_class].push_back(index);
     }
   }
 
-  // --- ours ---
+  // --- rudderloom policy ---
 
-  void ArriveOurs(std::size_t index) {
+  void EnterNode(std::size_t index) {
     Node& node = *nodes_[node_of_[index]];
-    const Request& request = load_.requests[index];
-    if (node.queue.Waiting(Model(request.model).name) == 0 && TryOurs(node, index)) {
+    const Request& request = workload_.requests[index];
+    if (node.queue.Waiting(Model(request.model).name) == 0 && TryRoute(node, index)) {
       return;
     }
     Applicant applicant;
     applicant.ticket = index + 1;
     applicant.target = Model(request.model).name;
     applicant.caller = "caller-" + std::to_string(request.prefix % 5);
-    applicant.priority = kPriorities[request.kind];
-    applicant.deadline = At(request.deadline - request.length);
+    applicant.priority = kPriorities[request.priority_class];
+    applicant.deadline = At(request.deadline - request.duration);
     const auto set = node.snapshot.models.find(applicant.target);
     const std::uint32_t room =
         set == node.snapshot.models.end() ? 0 : node.router.Room(node.snapshot, set->second);
     if (const auto refused = node.queue.Enter(applicant, room, At(now_))) {
-      --present_[request.model];
-      Refuse(refused->reason == AdmissionRefusal::Reason::kQueueFull ? "queue_full"
-                                                                     : "deadline_unreachable");
+      --active_[request.model];
+      CountRefusal(refused->reason == AdmissionRefusal::Reason::kQueueFull
+                       ? "queue_full"
+                       : "deadline_unreachable");
       return;
     }
     node.waiting[applicant.ticket] = index;
   }
 
-  bool TryOurs(Node& node, std::size_t index) {
-    const Request& request = load_.requests[index];
+  bool TryRoute(Node& node, std::size_t index) {
+    const Request& request = workload_.requests[index];
     const auto set = node.snapshot.models.find(Model(request.model).name);
     if (set == node.snapshot.models.end()) {
       return false;
     }
     RouteAsk ask;
     ask.prefix = request.prefix * 1000 + static_cast<std::uint64_t>(request.model);
-    ask.fills = request.kind == 2;
+    ask.fills = request.priority_class == 2;
     for (int tries = 0; tries < 3; ++tries) {
       const auto chosen = node.router.Choose(node.snapshot, set->second, ask, At(now_));
       if (!chosen) {
         return false;
       }
       const auto endpoint = static_cast<int>(node.snapshot.endpoints[*chosen].id);
-      // The snapshot lags: an endpoint may have lost the model, and says so at once.
+      // The snapshot may be stale: an endpoint that has lost the model rejects the request at once.
       if (!Serves(endpoint, request.model)) {
         ask.excluded.push_back(static_cast<std::uint32_t>(endpoint));
         continue;
       }
       node.router.Started(static_cast<std::uint32_t>(endpoint));
       ++node.in_flight[static_cast<std::size_t>(endpoint)];
-      Start(index, endpoint);
+      StartRequest(index, endpoint);
       return true;
     }
     return false;
   }
 
-  void PumpNode(Node& node) {
+  void DispatchNode(Node& node) {
     for (const Applicant& late : node.queue.Expire(At(now_))) {
-      --present_[load_.requests[node.waiting.at(late.ticket)].model];
+      --active_[workload_.requests[node.waiting.at(late.ticket)].model];
       node.waiting.erase(late.ticket);
-      Refuse("deadline_passed");
+      CountRefusal("deadline_passed");
     }
     std::map<std::pair<std::string, std::int64_t>, bool> full;
     while (const auto next = node.queue.Next([&](const Applicant& applicant) {
@@ -289,30 +301,30 @@
       if (is_full) {
         return false;
       }
-      is_full = !TryOurs(node, node.waiting.at(applicant.ticket));
+      is_full = !TryRoute(node, node.waiting.at(applicant.ticket));
       return !is_full;
     })) {
       node.waiting.erase(next->ticket);
     }
   }
 
-  void Report() {
-    for (auto& [model, count] : present_) {
+  void PublishSnapshots() {
+    for (auto& [model, count] : active_) {
       double& demand = demand_[static_cast<std::size_t>(model)];
-      demand += kSmoothing * (static_cast<double>(count) - demand);
+      demand += kDemandSmoothing * (static_cast<double>(count) - demand);
     }
     for (auto& node : nodes_) {
       node->snapshot = {};
       node->snapshot.live_nodes = static_cast<std::uint32_t>(nodes_.size());
       std::map<std::string, std::vector<std::string>> names;
-      for (int i = 0; i < load_.endpoints; ++i) {
+      for (int i = 0; i < workload_.endpoints; ++i) {
         if (!Endpoint(i).alive) {
           continue;
         }
         EndpointView view;
         view.id = static_cast<std::uint32_t>(i);
         view.name = "endpoint-" + std::to_string(i);
-        view.slots = static_cast<std::uint32_t>(load_.slots);
+        view.slots = static_cast<std::uint32_t>(workload_.slots);
         for (const auto& other : nodes_) {
           view.others_in_flight +=
               other == node ? 0 : other->in_flight[static_cast<std::size_t>(i)];
@@ -336,33 +348,33 @@
     }
   }
 
-  void PlanNow() {
+  void ApplyPlan() {
     PlanInput input;
-    const bool event = now_ >= load_.event_start - kLead && now_ < load_.event_end;
-    for (std::size_t i = 0; i < load_.models.size(); ++i) {
+    const bool event = now_ >= workload_.event_start - kEventLeadTime && now_ < workload_.event_end;
+    for (std::size_t i = 0; i < workload_.models.size(); ++i) {
       PlanUnit unit;
-      unit.name = load_.models[i].name;
-      unit.memory = load_.models[i].memory;
-      unit.copies = event ? std::max<std::int64_t>(1, load_.models[i].copies) : 1;
+      unit.name = workload_.models[i].name;
+      unit.memory = workload_.models[i].memory;
+      unit.copies = event ? std::max<std::int64_t>(1, workload_.models[i].declared_copies) : 1;
       unit.demand = demand_[i];
       input.units.push_back(unit);
     }
     std::int64_t loading = 0;
-    for (int i = 0; i < load_.endpoints; ++i) {
+    for (int i = 0; i < workload_.endpoints; ++i) {
       PlanEndpoint endpoint;
-      endpoint.memory = load_.memory;
+      endpoint.memory = workload_.memory;
       endpoint.usable = Endpoint(i).alive;
-      endpoint.zone = i % load_.zones;
-      endpoint.slots = load_.slots;
-      endpoint.load = static_cast<double>(Endpoint(i).running) / load_.slots;
-      endpoint.taken = Taken(i);
+      endpoint.zone = i % workload_.zones;
+      endpoint.slots = workload_.slots;
+      endpoint.load = static_cast<double>(Endpoint(i).running) / workload_.slots;
+      endpoint.taken = UsedMemory(i);
       for (const auto& [model, copy] : Endpoint(i).copies) {
         endpoint.entries.push_back({model, copy.state, copy.sequence});
         loading += copy.state == UnitState::kLoading ? 1 : 0;
       }
       input.endpoints.push_back(std::move(endpoint));
     }
-    input.loads = std::max<std::int64_t>(0, kLoadsAtOnce - loading);
+    input.loads = std::max<std::int64_t>(0, kMaxConcurrentLoads - loading);
     for (const PlanAction& action : Plan(std::move(input))) {
       if (action.kind == PlanAction::Kind::kLoad) {
         BeginLoad(action.endpoint, action.unit);
@@ -378,101 +390,103 @@
   void BeginLoad(int endpoint, int model) {
     Endpoint(endpoint).copies[model] = {UnitState::kLoading, now_, ++sequence_};
     CountMove();
-    next_load_ = std::max(next_load_ + kBetweenLoads, now_);
-    const std::int64_t length = 1'000 + static_cast<std::int64_t>(Model(model).memory) * 180;
-    result_.reload_ms += length;
-    Push(next_load_ + length, Event::Kind::kLoaded, 0, endpoint, model);
+    next_load_ = std::max(next_load_ + kLoadInterval, now_);
+    const std::int64_t duration = 1'000 + static_cast<std::int64_t>(Model(model).memory) * 180;
+    result_.load_ms += duration;
+    Schedule(next_load_ + duration, Event::Kind::kLoaded, 0, endpoint, model);
   }
 
   void CountMove() { result_.moves += now_ >= kWarmUp ? 1 : 0; }
 
-  void Loaded(int endpoint, int model) {
+  void FinishLoad(int endpoint, int model) {
     const auto found = Endpoint(endpoint).copies.find(model);
     if (Endpoint(endpoint).alive && found != Endpoint(endpoint).copies.end()) {
       found->second.state = UnitState::kResident;
       found->second.used_at = now_;
     }
-    PumpAll();
+    DispatchAll();
   }
 
-  void Lose(int endpoint) {
+  void LoseEndpoint(int endpoint) {
     Endpoint(endpoint).alive = false;
     Endpoint(endpoint).copies.clear();
   }
 
-  void Start(std::size_t index, int endpoint) {
-    const Request& request = load_.requests[index];
-    FakeEndpoint& place = Endpoint(endpoint);
+  void StartRequest(std::size_t index, int endpoint) {
+    const Request& request = workload_.requests[index];
+    FakeEndpoint& fake = Endpoint(endpoint);
     const std::uint64_t prefix = request.prefix * 1000 + static_cast<std::uint64_t>(request.model);
-    const auto cached = std::find(place.cache.begin(), place.cache.end(), prefix);
-    const std::int64_t saved = cached == place.cache.end() ? 0 : kCacheSaves;
-    if (cached != place.cache.end()) {
-      place.cache.erase(cached);
-    } else if (place.cache.size() >= kCachedPrefixes) {
-      place.cache.erase(place.cache.begin());
-    }
-    place.cache.push_back(prefix);
-    ++place.running;
-    // An engine that runs more than its slots slows down for all that it runs.
-    const std::int64_t crowd = std::max(1, (place.running + load_.slots - 1) / load_.slots);
-    place.copies[request.model].used_at = now_;
-    if (policy_ == Policy::kRelaxed) {
-      place.copies.clear();
-    }
-    result_.wait.push_back(now_ - request.at);
-    Push(now_ + std::max<std::int64_t>(20, request.length - saved) * crowd, Event::Kind::kFinish,
-         index, endpoint);
+    const auto cached = std::find(fake.cache.begin(), fake.cache.end(), prefix);
+    const std::int64_t saved = cached == fake.cache.end() ? 0 : kPrefixCacheSaving;
+    if (cached != fake.cache.end()) {
+      fake.cache.erase(cached);
+    } else if (fake.cache.size() >= kCachedPrefixes) {
+      fake.cache.erase(fake.cache.begin());
+    }
+    fake.cache.push_back(prefix);
+    ++fake.running;
+    // Running more requests than slots slows down all requests of the engine.
+    const std::int64_t slowdown =
+        std::max(1, (fake.running + workload_.slots - 1) / workload_.slots);
+    fake.copies[request.model].used_at = now_;
+    if (policy_ == Policy::kRelaxedBound) {
+      fake.copies.clear();
+    }
+    result_.wait_ms.push_back(now_ - request.arrival);
+    Schedule(now_ + std::max<std::int64_t>(20, request.duration - saved) * slowdown,
+             Event::Kind::kFinish, index, endpoint);
   }
 
-  void Finish(std::size_t index, int endpoint) {
-    const Request& request = load_.requests[index];
+  void FinishRequest(std::size_t index, int endpoint) {
+    const Request& request = workload_.requests[index];
     --Endpoint(endpoint).running;
-    --present_[request.model];
-    const bool cut = !Endpoint(endpoint).alive && now_ - load_.event_start < request.length;
-    if (policy_ == Policy::kOurs) {
+    --active_[request.model];
+    const bool interrupted =
+        !Endpoint(endpoint).alive && now_ - workload_.event_start < request.duration;
+    if (policy_ == Policy::kRudderloom) {
       Node& node = *nodes_[node_of_[index]];
       node.router.Ended(static_cast<std::uint32_t>(endpoint), RouteResult::kServed, Duration(100),
                         At(now_));
       --node.in_flight[static_cast<std::size_t>(endpoint)];
-      node.queue.Served(Model(request.model).name, Duration(request.length));
+      node.queue.Served(Model(request.model).name, Duration(request.duration));
     }
-    if (now_ <= request.deadline && !cut) {
-      ++result_.attained[request.kind];
+    if (now_ <= request.deadline && !interrupted) {
+      ++result_.attained[request.priority_class];
     } else {
-      Refuse(cut ? "cut" : "late");
+      CountRefusal(interrupted ? "cut" : "late");
     }
-    if (policy_ == Policy::kOurs) {
-      PumpNode(*nodes_[node_of_[index]]);
+    if (policy_ == Policy::kRudderloom) {
+      DispatchNode(*nodes_[node_of_[index]]);
     } else {
-      PumpLine();
+      DispatchBaseline();
     }
   }
 
-  void PumpAll() {
-    if (policy_ != Policy::kOurs) {
-      PumpLine();
+  void DispatchAll() {
+    if (policy_ != Policy::kRudderloom) {
+      DispatchBaseline();
       return;
     }
     for (auto& node : nodes_) {
       if (node->queue.Size() > 0) {
-        PumpNode(*node);
+        DispatchNode(*node);
       }
     }
   }
 
-  // --- baselines: one line by kind, perfect knowledge of what runs where ---
+  // --- baseline policies: one queue per priority class, perfect knowledge of running requests ---
 
-  void PumpLine() {
-    for (auto& line : line_) {
+  void DispatchBaseline() {
+    for (auto& baseline_queue : baseline_queues_) {
       std::map<int, bool> full;
-      for (auto waiting = line.begin(); waiting != line.end();) {
-        const Request& request = load_.requests[*waiting];
-        if (now_ + request.length > request.deadline) {
-          --present_[request.model];
-          Refuse("deadline_passed");
-          waiting = line.erase(waiting);
-        } else if (!full[request.model] && StartSomewhere(*waiting)) {
-          waiting = line.erase(waiting);
+      for (auto waiting = baseline_queue.begin(); waiting != baseline_queue.end();) {
+        const Request& request = workload_.requests[*waiting];
+        if (now_ + request.duration > request.deadline) {
+          --active_[request.model];
+          CountRefusal("deadline_passed");
+          waiting = baseline_queue.erase(waiting);
+        } else if (!full[request.model] && StartOnFreeEndpoint(*waiting)) {
+          waiting = baseline_queue.erase(waiting);
         } else {
           full[request.model] = true;
           ++waiting;
@@ -481,17 +495,17 @@
     }
   }
 
-  bool StartSomewhere(std::size_t index) {
-    const int model = load_.requests[index].model;
+  bool StartOnFreeEndpoint(std::size_t index) {
+    const int model = workload_.requests[index].model;
     int best = -1;
-    for (int step = 0; step < load_.endpoints; ++step) {
-      const int i = (step + turn_) % load_.endpoints;
-      if (!Serves(i, model) || Endpoint(i).running >= load_.slots) {
+    for (int step = 0; step < workload_.endpoints; ++step) {
+      const int i = (step + next_endpoint_) % workload_.endpoints;
+      if (!Serves(i, model) || Endpoint(i).running >= workload_.slots) {
         continue;
       }
       if (policy_ == Policy::kOnDemand) {
         best = i;
-        turn_ = i + 1;
+        next_endpoint_ = i + 1;
         break;
       }
       if (best < 0 || Endpoint(i).running < Endpoint(best).running) {
@@ -501,55 +515,55 @@
     if (best < 0) {
       return false;
     }
-    Start(index, best);
+    StartRequest(index, best);
     return true;
   }
 
-  // Loads a model that no endpoint with a free slot serves, in place of the least recently used.
+  // Loads a model that no endpoint with a free slot serves and evicts the least recently used ones.
   void LoadOnDemand(int model) {
-    for (int i = 0; i < load_.endpoints; ++i) {
+    for (int i = 0; i < workload_.endpoints; ++i) {
       const auto found = Endpoint(i).copies.find(model);
-      const bool coming =
+      const bool available =
           found != Endpoint(i).copies.end() && Endpoint(i).alive &&
-          (found->second.state == UnitState::kLoading || Endpoint(i).running < load_.slots);
-      if (coming) {
+          (found->second.state == UnitState::kLoading || Endpoint(i).running < workload_.slots);
+      if (available) {
         return;
       }
     }
-    for (int step = 0; step < load_.endpoints; ++step) {
-      const int i = (step + turn_) % load_.endpoints;
-      FakeEndpoint& place = Endpoint(i);
-      if (!place.alive || place.running >= load_.slots || place.copies.contains(model)) {
+    for (int step = 0; step < workload_.endpoints; ++step) {
+      const int i = (step + next_endpoint_) % workload_.endpoints;
+      FakeEndpoint& fake = Endpoint(i);
+      if (!fake.alive || fake.running >= workload_.slots || fake.copies.contains(model)) {
         continue;
       }
-      while (Taken(i) + Model(model).memory > load_.memory) {
+      while (UsedMemory(i) + Model(model).memory > workload_.memory) {
         const auto oldest = std::min_element(
-            place.copies.begin(), place.copies.end(),
+            fake.copies.begin(), fake.copies.end(),
             [](const auto& a, const auto& b) { return a.second.used_at < b.second.used_at; });
-        place.copies.erase(oldest);
+        fake.copies.erase(oldest);
         CountMove();
       }
       BeginLoad(i, model);
-      turn_ = i + 1;
+      next_endpoint_ = i + 1;
       return;
     }
   }
 
-  const Workload& load_;
+  const Workload& workload_;
   Policy policy_;
   std::vector<FakeEndpoint> endpoints_;
   std::vector<std::unique_ptr<Node>> nodes_;
   std::vector<std::size_t> node_of_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> events_;
-  std::vector<std::size_t> line_[3];
-  std::map<int, std::int64_t> present_;  // running or waiting, by model
+  std::vector<std::size_t> baseline_queues_[3];
+  std::map<int, std::int64_t> active_;  // requests that run or wait, by model
   std::vector<double> demand_;
   std::map<std::vector<std::string>, std::vector<std::uint32_t>> affinity_;
   std::int64_t now_ = 0;
   std::int64_t next_load_ = 0;
   std::uint64_t order_ = 0;
   std::uint64_t sequence_ = 0;
-  int turn_ = 0;
+  int next_endpoint_ = 0;
   Result result_;
 };
 
@@ -557,13 +571,13 @@
 
 std::string NameOf(Policy policy) {
   switch (policy) {
-    case Policy::kOurs:
+    case Policy::kRudderloom:
       return "ours";
     case Policy::kStatic:
       return "static";
     case Policy::kOnDemand:
       return "on demand";
-    case Policy::kRelaxed:
+    case Policy::kRelaxedBound:
       return "relaxed bound";
   }
   return "";
