--- a/src/test_main.cpp
+++ b/src/test_main.cpp
@@ -1,3 +1,3 @@
-// The one translation unit of a test program that carries doctest's main function.
+// Provides doctest's main function for a test program.
 #define DOCTEST_CONFIG_IMPLEMENT_WITH_MAIN
 #include <doctest/doctest.h>  // for the test runner
--- a/tests/fakes/cells.hpp
+++ b/tests/fakes/cells.hpp
@@ -1,4 +1,4 @@
-// Notes which cell of the fault matrix a test has just proved; tools/fault_matrix.py reads it.
+// Records the cells of the fault matrix that tests have proved; tools/fault_matrix.py reads them.
 #ifndef RUDDERLOOM_TESTS_FAKES_CELLS_HPP
 #define RUDDERLOOM_TESTS_FAKES_CELLS_HPP
 
@@ -10,7 +10,8 @@
 
 namespace rudderloom::fakes {
 
-// Call after the checks of the cell. `fault` may be a pair, written `one + other`.
+/// @brief Records a cell; call it after the checks of the cell. `fault` may be a pair, written
+/// `one + other`.
 inline void ProvedCell(const std::string& step, const std::string& fault, const std::string& test) {
   const char* file = std::getenv("RUDDERLOOM_CELLS");
   if (file != nullptr) {
--- a/tests/fakes/fake_store.hpp
+++ b/tests/fakes/fake_store.hpp
@@ -1,4 +1,4 @@
-// The platform's object API in memory, with faults set from the test.
+// In-memory object API of the platform with faults that tests inject.
 #ifndef RUDDERLOOM_TESTS_FAKES_FAKE_STORE_HPP
 #define RUDDERLOOM_TESTS_FAKES_FAKE_STORE_HPP
 
@@ -10,19 +10,19 @@
 
 namespace rudderloom::fakes {
 
-// What a write does besides taking effect.
+/// @brief Faults of a write.
 enum class WriteFault { kNone, kLostBefore, kLostAfter, kUnreachable, kServerError, kThrottled };
 
-// One platform that several processes' stores share.
+/// @brief Platform state shared by the stores of several processes.
 struct FakePlatform {
   std::map<std::string, std::map<std::string, StoredObject>> kinds;
   std::uint64_t version = 0;
   std::uint64_t writes = 0;
   std::uint64_t reads = 0;
   bool down = false;
-  // Decides about each write, by its number; empty: no faults.
+  // Selects the fault of each write by its number; no faults if empty.
   std::function<WriteFault(std::uint64_t number)> write_fault;
-  // Runs just before a write takes effect, for races.
+  // Runs right before a write takes effect, to provoke races.
   std::function<void(const std::string& kind, const StoredObject&)> before_write;
 };
 
@@ -96,7 +96,7 @@
   FakePlatform& platform_;
 };
 
-// Runs a coroutine to its end and gives its value.
+/// @brief Runs a coroutine to completion and returns its value.
 template <class T>
 T RunCoroutine(asio::io_context& context, Awaitable<T> coroutine) {
   std::optional<T> result;
--- a/tests/fakes/fleet_world.cpp
+++ b/tests/fakes/fleet_world.cpp
@@ -7,16 +7,16 @@
 
 namespace {
 
-constexpr int kStep = 5;
-constexpr int kTick = 50;
-constexpr int kSample = 200;
-constexpr int kStoreAnswers = 10;
-constexpr int kStoreTimeOut = 1'000;
-constexpr int kPeerAnswers = 5;
-constexpr int kPeerTimeOut = 600;
-constexpr int kAgain = 800;  // after a call that failed
-constexpr int kForOthersEvery = 500;
-constexpr double kStalePrice = 0.1;
+constexpr int kStepMs = 5;
+constexpr int kTickIntervalMs = 50;
+constexpr int kSampleIntervalMs = 200;
+constexpr int kStoreLatencyMs = 10;
+constexpr int kStoreTimeoutMs = 1'000;
+constexpr int kPeerLatencyMs = 5;
+constexpr int kPeerTimeoutMs = 600;
+constexpr int kRetryDelayMs = 800;  // after a failed call
+constexpr int kSharedWatchIntervalMs = 500;
+constexpr double kStaleReadCost = 0.1;
 
 }  // namespace
 
@@ -34,16 +34,16 @@
   for (int i = 0; i < options.nodes; ++i) {
     Start(i);
   }
-  first_lives_ = false;
+  first_generation_ = false;
 }
 
-FleetSettings FleetWorld::SettingsOf(const Node& node) const {
+FleetSettings FleetWorld::MakeSettings(const Node& node) const {
   FleetSettings settings;
   settings.name = node.name;
   settings.listen.peers = node.address;
   settings.processor_share = node.share;
   settings.group_size = options_.group_size;
-  settings.first_start = first_lives_ && options_.first_start;
+  settings.first_start = first_generation_ && options_.first_start;
   const int index = static_cast<int>(&node - nodes_.data());
   settings.availability_zone = "zone-" + std::to_string(index % options_.zones);
   settings.bounds.drain = Duration(4'000);
@@ -52,40 +52,40 @@
 }
 
 void FleetWorld::Kill(int index) {
-  Node& node = At(index);
+  Node& node = NodeAt(index);
   node.state.reset();
   node.statement.reset();
   node.view.reset();
-  node.holds = false;
-  ++node.life;
+  node.holds_lease = false;
+  ++node.generation;
 }
 
 void FleetWorld::Start(int index) {
-  Node& node = At(index);
+  Node& node = NodeAt(index);
   Kill(index);
-  node.state = std::make_unique<FleetState>(SettingsOf(node), std::to_string(node.life));
+  node.state = std::make_unique<FleetState>(MakeSettings(node), std::to_string(node.generation));
   node.endpoints = {};
   node.configuration = {};
-  node.waiting_report.reset();
+  node.pending_report.reset();
   node.spending.clear();
   node.crash_news = {};
   node.limits = {};
   node.reporting = false;
   node.routes_version = 0;
-  const Followings followings = FollowingsAtStart(SettingsOf(node));
-  Follow(node, node.endpoints, followings.endpoints);
-  Follow(node, node.configuration, followings.configuration);
+  const Followings followings = FollowingsAtStart(MakeSettings(node));
+  SetFollowing(node, node.endpoints, followings.endpoints);
+  SetFollowing(node, node.configuration, followings.configuration);
 }
 
-void FleetWorld::Suspend(int index, int milliseconds, int clock_lags) {
-  At(index).suspended_until = now_ + milliseconds;
-  At(index).clock_lags = clock_lags;
+void FleetWorld::Suspend(int index, int milliseconds, int clock_lag_ms) {
+  NodeAt(index).suspended_until = now_ + milliseconds;
+  NodeAt(index).clock_lag_ms = clock_lag_ms;
 }
 
 void FleetWorld::Configure(std::uint64_t version) {
   store_.routes_version = version;
   ++store_.revision;
-  CopyStore();
+  SnapshotStore();
 }
 
 void FleetWorld::PutEndpoint(const std::string& instance, bool leaving) {
@@ -96,35 +96,35 @@
   record.address = instance + ":1";
   record.leaving = leaving;
   store_.endpoints[instance] = {record, ++store_.revision};
-  CopyStore();
+  SnapshotStore();
 }
 
 void FleetWorld::RemoveEndpoint(const std::string& instance) {
   store_.endpoints.erase(instance);
   ++store_.revision;
-  CopyStore();
+  SnapshotStore();
 }
 
-void FleetWorld::CopyStore() {
-  copies_[now_] = store_;
+void FleetWorld::SnapshotStore() {
+  store_snapshots_[now_] = store_;
 }
 
 void FleetWorld::WriteElsewhere(int writes) {
   store_.revision += static_cast<std::uint64_t>(writes);
-  CopyStore();
+  SnapshotStore();
 }
 
-void FleetWorld::RestoreStore(int age, int written_again_after) {
-  const auto newer = copies_.upper_bound(now_ - age);
-  const Kept lost = store_;
-  store_ = newer == copies_.begin() ? Kept() : std::prev(newer)->second;
+void FleetWorld::RestoreStore(int age, int replay_delay_ms) {
+  const auto newer = store_snapshots_.upper_bound(now_ - age);
+  const StoreContents lost = store_;
+  store_ = newer == store_snapshots_.begin() ? StoreContents() : std::prev(newer)->second;
   store_.lease.era = lost.lease.era + 1;
-  copies_.clear();
-  CopyStore();
-  After(written_again_after, [this, lost] { WriteAgain(lost); });
+  store_snapshots_.clear();
+  SnapshotStore();
+  Schedule(replay_delay_ms, [this, lost] { ReplayLostWrites(lost); });
 }
 
-void FleetWorld::WriteAgain(const Kept& lost) {
+void FleetWorld::ReplayLostWrites(const StoreContents& lost) {
   for (const auto& [instance, entry] : lost.endpoints) {
     const auto found = store_.endpoints.find(instance);
     if (found == store_.endpoints.end() || (entry.first.leaving && !found->second.first.leaving)) {
@@ -136,8 +136,8 @@
   }
 }
 
-RouteTablePtr FleetWorld::Routes() const {
-  // Every version has a route of its own beside one that stays.
+RouteTablePtr FleetWorld::BuildRoutes() const {
+  // Each version has its own route besides one that all versions share.
   std::vector<Route> routes(2);
   routes[0].prefix = "/stays/";
   routes[1].prefix = "/v" + std::to_string(store_.routes_version) + "/";
@@ -146,24 +146,25 @@
       Callers{!options_.customers.empty(), options_.customers});
 }
 
-void FleetWorld::After(int milliseconds, std::function<void()> what) {
-  events_.emplace(now_ + milliseconds, std::move(what));
+void FleetWorld::Schedule(int milliseconds, std::function<void()> callback) {
+  events_.emplace(now_ + milliseconds, std::move(callback));
 }
 
-void FleetWorld::AfterIn(Node& node, int milliseconds, std::function<void()> what) {
-  After(milliseconds, [this, &node, life = node.life, what = std::move(what)] {
-    if (node.life != life || !node.state) {
-      return;
-    }
-    if (Suspended(node)) {
-      AfterIn(node, node.suspended_until - now_, what);
-    } else {
-      what();
-    }
-  });
+void FleetWorld::ScheduleOnNode(Node& node, int milliseconds, std::function<void()> callback) {
+  Schedule(milliseconds,
+           [this, &node, generation = node.generation, callback = std::move(callback)] {
+             if (node.generation != generation || !node.state) {
+               return;
+             }
+             if (Suspended(node)) {
+               ScheduleOnNode(node, node.suspended_until - now_, callback);
+             } else {
+               callback();
+             }
+           });
 }
 
-FleetWorld::Node* FleetWorld::Find(const std::string& address) {
+FleetWorld::Node* FleetWorld::FindNode(const std::string& address) {
   const auto found = std::find_if(nodes_.begin(), nodes_.end(),
                                   [&](const Node& node) { return node.address == address; });
   return found == nodes_.end() ? nullptr : &*found;
@@ -171,24 +172,24 @@
 
 void FleetWorld::Play(int milliseconds) {
   const int until = now_ + milliseconds;
-  for (; now_ < until; now_ += kStep) {
+  for (; now_ < until; now_ += kStepMs) {
     while (!events_.empty() && events_.begin()->first <= now_) {
-      const auto what = std::move(events_.begin()->second);
+      const auto callback = std::move(events_.begin()->second);
       events_.erase(events_.begin());
-      what();
+      callback();
     }
     for (std::size_t i = 0; i < nodes_.size(); ++i) {
       Node& node = nodes_[i];
       if (!node.state || Suspended(node)) {
         continue;
       }
-      const int phase = now_ + static_cast<int>(i) * kStep;
-      if (phase % kTick == 0) {
-        Tell(node, fleet_message::Tick{TimeAt(node)});
-        MoveFollowed(node, node.endpoints, false);
-        MoveFollowed(node, node.configuration, true);
+      const int phase = now_ + static_cast<int>(i) * kStepMs;
+      if (phase % kTickIntervalMs == 0) {
+        HandleMessage(node, fleet_message::Tick{TimeAt(node)});
+        AdvanceSubscription(node, node.endpoints, false);
+        AdvanceSubscription(node, node.configuration, true);
       }
-      if (phase % kSample == 0) {
+      if (phase % kSampleIntervalMs == 0) {
         Sample(node);
       }
     }
@@ -205,10 +206,10 @@
   }
   counts.crash_news = std::exchange(node.crash_news, {});
   counts.limits = std::exchange(node.limits, {});
-  Tell(node, fleet_message::NodeSampled{counts});
+  HandleMessage(node, fleet_message::NodeSampled{counts});
 }
 
-void FleetWorld::Tell(Node& node, const fleet_message::Any& message) {
+void FleetWorld::HandleMessage(Node& node, const fleet_message::Any& message) {
   Execute(node, node.state->Handle(message, TimeAt(node)));
 }
 
@@ -216,21 +217,21 @@
   if (effects.view) {
     node.view = effects.view;
     const std::uint64_t version = node.view->routes ? node.view->routes->Version() : 0;
-    went_back_ += version < node.routes_version ? 1 : 0;
+    configuration_regressions_ += version < node.routes_version ? 1 : 0;
     node.routes_version = version;
   }
   if (effects.statement) {
     node.statement = effects.statement;
-    node.holds =
+    node.holds_lease =
         effects.statement->common.holds && effects.statement->common.holder == node.address;
   }
   if (effects.followings) {
-    Follow(node, node.endpoints, effects.followings->endpoints);
-    Follow(node, node.configuration, effects.followings->configuration);
+    SetFollowing(node, node.endpoints, effects.followings->endpoints);
+    SetFollowing(node, node.configuration, effects.followings->configuration);
   }
   if (effects.store_era) {
-    for (Followed* followed : {&node.endpoints, &node.configuration}) {
-      followed->listed = followed->listed && followed->era >= *effects.store_era;
+    for (Subscription* subscription : {&node.endpoints, &node.configuration}) {
+      subscription->listed = subscription->listed && subscription->era >= *effects.store_era;
     }
   }
   if (effects.lease_read) {
@@ -240,58 +241,61 @@
     WriteLease(node, *effects.lease_write);
   }
   if (effects.report) {
-    if (node.waiting_report) {
-      AddUntold(node.waiting_report->counts, effects.report->counts);
+    if (node.pending_report) {
+      AddUntold(node.pending_report->counts, effects.report->counts);
     }
-    node.waiting_report = std::move(effects.report);
-    Report(node);
+    node.pending_report = std::move(effects.report);
+    SendReport(node);
   }
   if (effects.read_routes) {
-    Answer(node, node.configuration, true, true);
+    AnswerStoreCall(node, node.configuration, true, true);
   }
 }
 
-void FleetWorld::ReadLease(Node& node, LeaseRead how) {
-  const bool fresh = how == LeaseRead::kFresh;
-  calls_.lease += fresh ? 1.0 : kStalePrice;
+void FleetWorld::ReadLease(Node& node, LeaseRead mode) {
+  const bool fresh = mode == LeaseRead::kFresh;
+  calls_.lease += fresh ? 1.0 : kStaleReadCost;
   const auto record = store_.lease.record;
   const StoreRevision version = store_.lease.Version();
-  if (!Reaches(node)) {
-    AfterIn(node, kStoreTimeOut, [this, &node] { Tell(node, fleet_message::LeaseUnread{}); });
+  if (!ReachesStore(node)) {
+    ScheduleOnNode(node, kStoreTimeoutMs,
+                   [this, &node] { HandleMessage(node, fleet_message::LeaseUnread{}); });
     return;
   }
-  AfterIn(node, kStoreAnswers, [this, &node, fresh, record, version] {
-    Tell(node, fleet_message::LeaseSeen{record, version, fresh});
+  ScheduleOnNode(node, kStoreLatencyMs, [this, &node, fresh, record, version] {
+    HandleMessage(node, fleet_message::LeaseSeen{record, version, fresh});
   });
 }
 
 void FleetWorld::WriteLease(Node& node, const LeaseWrite& write) {
   calls_.lease += 1;
-  if (!Reaches(node)) {
-    AfterIn(node, kStoreTimeOut,
-            [this, &node] { Tell(node, fleet_message::LeaseWritten{std::nullopt}); });
+  if (!ReachesStore(node)) {
+    ScheduleOnNode(node, kStoreTimeoutMs, [this, &node] {
+      HandleMessage(node, fleet_message::LeaseWritten{std::nullopt});
+    });
     return;
   }
   const bool taken = store_.lease.Put(write);
-  CopyStore();
+  SnapshotStore();
   const auto version = taken ? std::optional(store_.lease.Version()) : std::nullopt;
-  AfterIn(node, kStoreAnswers,
-          [this, &node, version] { Tell(node, fleet_message::LeaseWritten{version}); });
+  ScheduleOnNode(node, kStoreLatencyMs, [this, &node, version] {
+    HandleMessage(node, fleet_message::LeaseWritten{version});
+  });
 }
 
-void FleetWorld::Report(Node& node) {
-  if (node.reporting || !node.waiting_report) {
+void FleetWorld::SendReport(Node& node) {
+  if (node.reporting || !node.pending_report) {
     return;
   }
-  const CountsToReport report = std::move(*node.waiting_report);
-  node.waiting_report.reset();
+  const CountsToReport report = std::move(*node.pending_report);
+  node.pending_report.reset();
   node.reporting = true;
-  Node* to = Find(report.to);
+  Node* to = FindNode(report.to);
   const bool silent = to == nullptr || node.cut_from_nodes || to->cut_from_nodes || Suspended(*to);
   if (silent || !to->state) {
-    AfterIn(node, silent ? kPeerTimeOut : kPeerAnswers, [this, &node, report] {
-      ReportEnded(node);
-      Tell(node, fleet_message::ReportFailed{report.to, report.counts.report_number});
+    ScheduleOnNode(node, silent ? kPeerTimeoutMs : kPeerLatencyMs, [this, &node, report] {
+      FinishReport(node);
+      HandleMessage(node, fleet_message::ReportFailed{report.to, report.counts.report_number});
     });
     return;
   }
@@ -299,98 +303,105 @@
   if (to->statement) {
     digest = DigestFor(*to->statement, report.counts, TimeAt(*to));
   }
-  MakeOlder(digest, Duration(kPeerAnswers));
-  to->heard_reports_at.push_back(now_);
-  AfterIn(*to, 0, [this, to, report] { Tell(*to, fleet_message::PeerCounted{report.counts}); });
-  AfterIn(node, kPeerAnswers, [this, &node, report, digest] {
-    ReportEnded(node);
-    Tell(node, fleet_message::DigestHeard{digest, report.to, report.counts.report_number});
+  MakeOlder(digest, Duration(kPeerLatencyMs));
+  to->report_times.push_back(now_);
+  ScheduleOnNode(*to, 0, [this, to, report] {
+    HandleMessage(*to, fleet_message::PeerCounted{report.counts});
+  });
+  ScheduleOnNode(node, kPeerLatencyMs, [this, &node, report, digest] {
+    FinishReport(node);
+    HandleMessage(node, fleet_message::DigestHeard{digest, report.to, report.counts.report_number});
   });
 }
 
-void FleetWorld::ReportEnded(Node& node) {
+void FleetWorld::FinishReport(Node& node) {
   node.reporting = false;
-  Report(node);
+  SendReport(node);
 }
 
-void FleetWorld::Follow(Node&, Followed& followed, Following how) {
-  if (followed.how == how) {
+void FleetWorld::SetFollowing(Node&, Subscription& subscription, Following mode) {
+  if (subscription.mode == mode) {
     return;
   }
-  // A watch goes on as another kind of watch; after a pause it begins with a list.
+  // A watch continues as another kind of watch; after a pause it starts with a list.
   const bool was_watching =
-      followed.how == Following::kStore || followed.how == Following::kForOthers;
-  followed.probes = followed.probes || followed.how == Following::kHolder;
-  followed.how = how;
-  followed.listed = followed.listed && was_watching && how != Following::kHolder;
+      subscription.mode == Following::kStore || subscription.mode == Following::kForOthers;
+  subscription.needs_probe = subscription.needs_probe || subscription.mode == Following::kHolder;
+  subscription.mode = mode;
+  subscription.listed = subscription.listed && was_watching && mode != Following::kHolder;
 }
 
-void FleetWorld::MoveFollowed(Node& node, Followed& followed, bool configuration) {
-  if (followed.how == Following::kHolder || followed.calling) {
+void FleetWorld::AdvanceSubscription(Node& node, Subscription& subscription, bool configuration) {
+  if (subscription.mode == Following::kHolder || subscription.call_in_flight) {
     return;
   }
-  if (followed.probes) {
-    Probe(node, followed);
+  if (subscription.needs_probe) {
+    ProbeStore(node, subscription);
     return;
   }
-  if (!followed.listed) {
-    Answer(node, followed, configuration, true);
+  if (!subscription.listed) {
+    AnswerStoreCall(node, subscription, configuration, true);
     return;
   }
-  if (followed.how == Following::kStoreOnce) {
+  if (subscription.mode == Following::kStoreOnce) {
     return;
   }
-  const bool changed = store_.revision > followed.seen;
-  const bool due = followed.how == Following::kForOthers && now_ >= followed.next_answer_at;
-  if (changed || due || !Reaches(node)) {
-    Answer(node, followed, configuration, false);
+  const bool changed = store_.revision > subscription.seen_revision;
+  const bool due =
+      subscription.mode == Following::kForOthers && now_ >= subscription.next_answer_at;
+  if (changed || due || !ReachesStore(node)) {
+    AnswerStoreCall(node, subscription, configuration, false);
   }
 }
 
-void FleetWorld::Probe(Node& node, Followed& followed) {
-  calls_.lists += kStalePrice;
-  followed.calling = true;
-  const bool reaches = Reaches(node);
-  AfterIn(node, reaches ? kStoreAnswers : kStoreTimeOut + kAgain, [&followed, reaches] {
-    followed.calling = false;
-    followed.probes = !reaches;
-  });
+void FleetWorld::ProbeStore(Node& node, Subscription& subscription) {
+  calls_.lists += kStaleReadCost;
+  subscription.call_in_flight = true;
+  const bool reaches_store = ReachesStore(node);
+  ScheduleOnNode(node, reaches_store ? kStoreLatencyMs : kStoreTimeoutMs + kRetryDelayMs,
+                 [&subscription, reaches_store] {
+                   subscription.call_in_flight = false;
+                   subscription.needs_probe = !reaches_store;
+                 });
 }
 
-void FleetWorld::Answer(Node& node, Followed& followed, bool configuration, bool list) {
+void FleetWorld::AnswerStoreCall(Node& node,
+                                 Subscription& subscription,
+                                 bool configuration,
+                                 bool list) {
   (list ? calls_.lists : calls_.watches) += 1;
-  followed.calling = true;
-  if (!Reaches(node)) {
-    AfterIn(node, kStoreTimeOut + kAgain, [&followed] {
-      followed.calling = false;
-      followed.listed = false;
-      followed.probes = true;
+  subscription.call_in_flight = true;
+  if (!ReachesStore(node)) {
+    ScheduleOnNode(node, kStoreTimeoutMs + kRetryDelayMs, [&subscription] {
+      subscription.call_in_flight = false;
+      subscription.listed = false;
+      subscription.needs_probe = true;
     });
     return;
   }
   const std::uint64_t at = store_.revision;
   const std::uint64_t era = store_.lease.era;
-  // A watch that goes on from a revision of another era is over; a list follows.
-  const bool other_era = !list && followed.era != era;
+  // A watch that continues from a revision of another era ends; a list follows.
+  const bool other_era = !list && subscription.era != era;
   std::vector<EndpointRecord> records;
   for (const auto& [instance, entry] : store_.endpoints) {
     records.push_back(entry.first);
   }
-  const RouteTablePtr routes = Routes();
-  AfterIn(node, kStoreAnswers, [=, this, &node, &followed] {
-    followed.calling = false;
-    followed.listed = !other_era;
+  const RouteTablePtr routes = BuildRoutes();
+  ScheduleOnNode(node, kStoreLatencyMs, [=, this, &node, &subscription] {
+    subscription.call_in_flight = false;
+    subscription.listed = !other_era;
     if (other_era) {
       return;
     }
-    followed.seen = at;
-    followed.era = era;
-    followed.next_answer_at = now_ + kForOthersEvery;
+    subscription.seen_revision = at;
+    subscription.era = era;
+    subscription.next_answer_at = now_ + kSharedWatchIntervalMs;
     if (configuration) {
-      Tell(node, fleet_message::RoutesSeen{routes});
-      Tell(node, fleet_message::RoutesConfirmed{});
+      HandleMessage(node, fleet_message::RoutesSeen{routes});
+      HandleMessage(node, fleet_message::RoutesConfirmed{});
     } else {
-      Tell(node, fleet_message::EndpointsListed{records, StoreRevision(era, at)});
+      HandleMessage(node, fleet_message::EndpointsListed{records, StoreRevision(era, at)});
     }
   });
 }
--- a/tests/fakes/fleet_world.hpp
+++ b/tests/fakes/fleet_world.hpp
@@ -1,4 +1,4 @@
-// A fleet of control states beside one store, in simulated time and without network.
+// Simulates the control states of a fleet and their store on a virtual clock, without a network.
 #ifndef RUDDERLOOM_TESTS_FAKES_FLEET_WORLD_HPP
 #define RUDDERLOOM_TESTS_FAKES_FLEET_WORLD_HPP
 
@@ -14,19 +14,19 @@
 
 namespace rudderloom::fakes {
 
-// How the world is made.
+/// @brief Size and configuration of the simulated fleet.
 struct FleetWorldOptions {
   int nodes = 30;
   int zones = 2;
   std::uint32_t group_size = 4;
   bool first_start = true;
-  double large_share = 0.5;  // of a core, of the first nodes of each zone
+  double large_share = 0.5;  // of a core, for the first nodes of each zone
   int large_in_zone = 2;
   double small_share = 0.12;
   std::vector<Customer> customers = {};
 };
 
-// Calls to the store; a stale one counts a tenth.
+/// @brief Calls to the store, by kind; a stale read counts as a tenth of a call.
 struct StoreCalls {
   double lists = 0;
   double watches = 0;
@@ -39,89 +39,96 @@
  public:
   explicit FleetWorld(const FleetWorldOptions& options);
 
-  // Lets simulated time go on.
+  /// @brief Advances the simulated time by `milliseconds`.
   void Play(int milliseconds);
 
-  // Faults. A killed node answers nothing; a started one is a new process.
+  // Faults. A killed node does not respond; a started node is a new process.
   void Kill(int node);
   void Start(int node);
-  // The node's machine does nothing for so long. Afterwards its clock lags by `clock_lags` behind
-  // the others', as a clock does that stands still meanwhile.
-  void Suspend(int node, int milliseconds, int clock_lags = 0);
-  void CutFromStore(int node, bool cut) { At(node).cut_from_store = cut; }
-  void CutFromNodes(int node, bool cut) { At(node).cut_from_nodes = cut; }
+  /// @brief Suspends the machine of the node for `milliseconds`. Its clock lags `clock_lag_ms`
+  /// behind the others afterwards, as a clock does that stops during a suspend.
+  void Suspend(int node, int milliseconds, int clock_lag_ms = 0);
+  void CutFromStore(int node, bool cut) { NodeAt(node).cut_from_store = cut; }
+  void CutFromNodes(int node, bool cut) { NodeAt(node).cut_from_nodes = cut; }
   void SetStoreDown(bool down) { store_down_ = down; }
-  // The store is as it was so long ago, and its revisions go back: they are given out again. What
-  // the operator and the endpoints wrote since is written again after a while, in an order of its
-  // own; what the nodes wrote is gone.
-  void RestoreStore(int age, int written_again_after);
-  // Writes of others that the nodes don't follow: they use revisions up.
+  /// @brief Restores the store to its state `age` milliseconds ago. Its revisions go back and are
+  /// assigned again. The lost writes of the operator and the endpoints are repeated after
+  /// `replay_delay_ms` in a different order; the lost writes of the nodes are not.
+  void RestoreStore(int age, int replay_delay_ms);
+  /// @brief Simulates unrelated writes, which use up revisions but concern no object that nodes
+  /// follow.
   void WriteElsewhere(int writes);
 
-  // The operator's changes.
+  // Changes by the operator.
   void Configure(std::uint64_t version);
   void PutEndpoint(const std::string& instance, bool leaving);
   void RemoveEndpoint(const std::string& instance);
 
-  // Something of a customer's limit is spent at a node.
+  /// @brief Spends `amount` of the limit of a customer at a node.
   void Spend(int node, const std::string& customer, std::int64_t amount);
-  // What the node has last heard of the customer's balance; nothing when it has heard none.
+  /// @brief Returns the balance of the customer that the node last received, nullopt before the
+  /// first.
   std::optional<std::int64_t> LevelAt(int node, const std::string& customer) const;
-  // The node's traffic has seen this: endpoints ended under requests, or answered them.
+  /// @brief Reports crash news from the traffic of the node: requests under which endpoints
+  /// crashed, or which endpoints answered.
   void See(int node, const CrashNews& news);
-  // True when the node sends the request to no endpoint.
+  /// @brief Returns whether the node quarantines the request.
   bool HoldsBack(int node, const RequestDigest& request) const;
-  // The node's traffic has observed these limits.
+  /// @brief Reports endpoint limits that the traffic of the node observed.
   void Observe(int node, const SentLimits& limits);
-  // Null before the first.
-  const FleetViewPtr& ViewOf(int node) const { return At(node).view; }
-  const std::shared_ptr<const Statement>& StatementOf(int node) const { return At(node).statement; }
-  // The node that another one reaches at this address now; nothing when none answers.
+  /// @brief Returns the latest view of the node, null before the first.
+  const FleetViewPtr& ViewOf(int node) const { return NodeAt(node).view; }
+  const std::shared_ptr<const Statement>& StatementOf(int node) const {
+    return NodeAt(node).statement;
+  }
+  /// @brief Returns the node that `from` reaches at `address` now, nullopt if none responds.
   std::optional<int> Answering(int from, const std::string& address) const;
-  bool Runs(int node) const { return Alive(node) && !Suspended(At(node)); }
-  // Of the node's processes, the present one.
-  int LifeOf(int node) const { return At(node).life; }
-  // From what the node would grant requests that other nodes ask for; null for nothing.
+  bool Runs(int node) const { return Alive(node) && !Suspended(NodeAt(node)); }
+  /// @brief Returns the number of the current process of the node.
+  int GenerationOf(int node) const { return NodeAt(node).generation; }
+  /// @brief Returns the basis on which the node grants requests of other nodes, null if it grants
+  /// none.
   std::shared_ptr<const GrantBasis> GrantsOf(int node) const;
   TimePoint Time() const { return TimePoint(std::chrono::hours(1)) + Duration(now_); }
 
-  // The node that holds the lease as it sees itself; nothing when none does.
+  /// @brief Returns the first node that considers itself the lease holder, nullopt if there is
+  /// none.
   std::optional<int> Holder() const;
-  // Under which the node holds the lease, as it tells others.
+  /// @brief Returns the lease epoch that the node publishes.
   std::uint64_t EpochOf(int node) const;
-  // Nodes that take themselves for the holder, and work now.
+  /// @brief Returns how many running nodes consider themselves the lease holder.
   int Holders() const;
-  std::uint64_t RoutesVersionOf(int node) const { return At(node).routes_version; }
-  // True when the node would send requests to the endpoint.
+  std::uint64_t RoutesVersionOf(int node) const { return NodeAt(node).routes_version; }
+  /// @brief Returns whether the node would send requests to the endpoint.
   bool Sends(int node, const std::string& instance) const;
-  // Reports that came to the node within the last second.
+  /// @brief Returns how many reports the node received within the last second.
   int ReportsTo(int node) const;
-  bool Alive(int node) const { return At(node).state != nullptr; }
-  bool IsCutFromStore(int node) const { return At(node).cut_from_store; }
+  bool Alive(int node) const { return NodeAt(node).state != nullptr; }
+  bool IsCutFromStore(int node) const { return NodeAt(node).cut_from_store; }
   int Nodes() const { return static_cast<int>(nodes_.size()); }
   const StoreCalls& Calls() const { return calls_; }
   int Now() const { return now_; }
-  // Times that a node's configuration went back within one life of it.
-  int WentBack() const { return went_back_; }
+  /// @brief Returns how often the configuration of a node regressed within one process.
+  int WentBack() const { return configuration_regressions_; }
 
  private:
-  // What the store keeps.
-  struct Kept {
+  // The contents of the store.
+  struct StoreContents {
     std::uint64_t revision = 1;
     std::uint64_t routes_version = 0;
     std::map<std::string, std::pair<EndpointRecord, std::uint64_t>> endpoints;
     LeaseObject lease;
   };
 
-  // One kind of the store's objects, as one node follows it.
-  struct Followed {
-    Following how = Following::kHolder;
-    bool listed = false;     // since it last began to call the store
-    bool probes = false;     // before it lists
-    std::uint64_t seen = 0;  // revision
-    std::uint64_t era = 0;   // of the store, that it is of
-    int next_answer_at = 0;  // of a watch that others rely on
-    bool calling = false;
+  // How a node follows one kind of object of the store.
+  struct Subscription {
+    Following mode = Following::kHolder;
+    bool listed = false;       // since it last started to call the store
+    bool needs_probe = false;  // whether to probe the store before listing
+    std::uint64_t seen_revision = 0;
+    std::uint64_t era = 0;   // store era of seen_revision
+    int next_answer_at = 0;  // of a watch on behalf of other nodes
+    bool call_in_flight = false;
   };
 
   struct Node {
@@ -129,62 +136,62 @@
     std::string address;
     double share = 1.0;
     std::unique_ptr<FleetState> state;
-    int life = 0;  // of its processes, the present one
+    int generation = 0;  // number of its current process
     std::shared_ptr<const Statement> statement;
     FleetViewPtr view;
-    Followed endpoints;
-    Followed configuration;
-    std::optional<CountsToReport> waiting_report;
+    Subscription endpoints;
+    Subscription configuration;
+    std::optional<CountsToReport> pending_report;
     SpendingTable spending;  // since the last sample
-    CrashNews crash_news;    // the same
-    SentLimits limits;       // the same
+    CrashNews crash_news;    // since the last sample
+    SentLimits limits;       // since the last sample
     bool reporting = false;
-    std::vector<int> heard_reports_at;
+    std::vector<int> report_times;
     std::uint64_t routes_version = 0;
     bool cut_from_store = false;
     bool cut_from_nodes = false;
     int suspended_until = 0;
-    int clock_lags = 0;
-    bool holds = false;
+    int clock_lag_ms = 0;
+    bool holds_lease = false;
   };
 
-  Node& At(int node) { return nodes_[static_cast<std::size_t>(node)]; }
-  const Node& At(int node) const { return nodes_[static_cast<std::size_t>(node)]; }
-  Node* Find(const std::string& address);
-  // As the node's own clock has it.
-  TimePoint TimeAt(const Node& node) const { return Time() - Duration(node.clock_lags); }
+  Node& NodeAt(int node) { return nodes_[static_cast<std::size_t>(node)]; }
+  const Node& NodeAt(int node) const { return nodes_[static_cast<std::size_t>(node)]; }
+  Node* FindNode(const std::string& address);
+  // Time on the clock of the node.
+  TimePoint TimeAt(const Node& node) const { return Time() - Duration(node.clock_lag_ms); }
   bool Suspended(const Node& node) const { return now_ < node.suspended_until; }
-  void After(int milliseconds, std::function<void()> what);
-  // Runs only if the process is still the same one.
-  void AfterIn(Node& node, int milliseconds, std::function<void()> what);
-  void Tell(Node& node, const fleet_message::Any& message);
+  void Schedule(int milliseconds, std::function<void()> callback);
+  // Runs `callback` only if the same process still runs; a suspended node delays it.
+  void ScheduleOnNode(Node& node, int milliseconds, std::function<void()> callback);
+  void HandleMessage(Node& node, const fleet_message::Any& message);
   void Sample(Node& node);
   void Execute(Node& node, FleetEffects effects);
-  void ReadLease(Node& node, LeaseRead how);
+  void ReadLease(Node& node, LeaseRead mode);
   void WriteLease(Node& node, const LeaseWrite& write);
-  void Report(Node& node);
-  void ReportEnded(Node& node);
-  void Follow(Node& node, Followed& followed, Following how);
-  void MoveFollowed(Node& node, Followed& followed, bool configuration);
-  void Answer(Node& node, Followed& followed, bool configuration, bool list);
-  // A stale read that shows whether the store answers.
-  void Probe(Node& node, Followed& followed);
-  bool Reaches(const Node& node) const { return !store_down_ && !node.cut_from_store; }
-  void CopyStore();
-  void WriteAgain(const Kept& lost);
-  RouteTablePtr Routes() const;
-  FleetSettings SettingsOf(const Node& node) const;
+  void SendReport(Node& node);
+  void FinishReport(Node& node);
+  void SetFollowing(Node& node, Subscription& subscription, Following mode);
+  void AdvanceSubscription(Node& node, Subscription& subscription, bool configuration);
+  void AnswerStoreCall(Node& node, Subscription& subscription, bool configuration, bool list);
+  // Checks with a stale read whether the store responds.
+  void ProbeStore(Node& node, Subscription& subscription);
+  bool ReachesStore(const Node& node) const { return !store_down_ && !node.cut_from_store; }
+  void SnapshotStore();
+  void ReplayLostWrites(const StoreContents& lost);
+  RouteTablePtr BuildRoutes() const;
+  FleetSettings MakeSettings(const Node& node) const;
 
   FleetWorldOptions options_;
   int now_ = 0;
   std::vector<Node> nodes_;
   std::multimap<int, std::function<void()>> events_;
-  Kept store_;
-  std::map<int, Kept> copies_;  // of the store, by when
+  StoreContents store_;
+  std::map<int, StoreContents> store_snapshots_;  // by time
   bool store_down_ = false;
   StoreCalls calls_;
-  int went_back_ = 0;
-  bool first_lives_ = true;
+  int configuration_regressions_ = 0;
+  bool first_generation_ = true;
 };
 
 }  // namespace rudderloom::fakes
--- a/tests/fakes/lease_object.hpp
+++ b/tests/fakes/lease_object.hpp
@@ -1,4 +1,4 @@
-// The platform's one object of the placement lease, written on condition of its version.
+// The placement lease object of the platform, written conditionally on its version.
 #ifndef RUDDERLOOM_TESTS_FAKES_LEASE_OBJECT_HPP
 #define RUDDERLOOM_TESTS_FAKES_LEASE_OBJECT_HPP
 
@@ -15,7 +15,7 @@
 
   StoreRevision Version() const { return {era, record ? revision : 0}; }
 
-  // False when the write was made for another version.
+  /// @brief Applies the write; returns false if it was made for another version.
   bool Put(const LeaseWrite& write) {
     if (write.version.Number() != Version().Number()) {
       return false;
@@ -26,7 +26,7 @@
   }
 };
 
-// One step of a keeper whose calls all come through.
+/// @brief Runs one step of a keeper whose calls all succeed.
 inline void Step(LeaseKeeper& keeper, LeaseObject& store, TimePoint now) {
   keeper.Seen(store.record, store.Version(), true, now);
   if (auto write = keeper.NextWrite(now)) {
--- a/tests/fakes/limited_traffic.cpp
+++ b/tests/fakes/limited_traffic.cpp
@@ -8,20 +8,20 @@
 
 namespace {
 
-constexpr int kStep = 5;  // milliseconds
+constexpr int kStepMs = 5;  // milliseconds
 constexpr int kMillisecondsPerSecond = 1'000;
-constexpr int kOnItsWay = 2;
-constexpr int kServed = 20;
-constexpr int kWindow = 4'000;
-constexpr int kKnownAfter = 3'000;
-constexpr Duration kAskAgain{300};
+constexpr int kNetworkDelayMs = 2;
+constexpr int kServiceTimeMs = 20;
+constexpr int kWindowMs = 4'000;
+constexpr int kSettlingTimeMs = 3'000;
+constexpr Duration kPermitRetryDelay{300};
 const EndpointKey kEndpoint = KeyOf("e1");
 
 }  // namespace
 
-LimitedTraffic::LimitedTraffic(FleetWorld& world, double wanted, unsigned seed)
+LimitedTraffic::LimitedTraffic(FleetWorld& world, double request_rate, unsigned seed)
     : world_(world),
-      wanted_(wanted),
+      request_rate_(request_rate),
       random_(seed),
       senders_(static_cast<std::size_t>(world.Nodes())) {}
 
@@ -32,42 +32,42 @@
   }
 }
 
-void LimitedTraffic::At(int moment, std::function<void()> what) {
-  events_.emplace(moment, std::move(what));
+void LimitedTraffic::ScheduleAt(int time, std::function<void()> callback) {
+  events_.emplace(time, std::move(callback));
 }
 
-// A process that has started knows nothing.
+// A new process starts with empty state.
 LimitedTraffic::Sender& LimitedTraffic::SenderOf(int node) {
   Sender& sender = senders_[static_cast<std::size_t>(node)];
-  if (sender.life != world_.LifeOf(node)) {
+  if (sender.generation != world_.GenerationOf(node)) {
     sender = Sender();
     sender.watch = LimitWatch(SpreadOf(std::to_string(node)));
-    sender.life = world_.LifeOf(node);
-    sender.began_at = world_.Now();
+    sender.generation = world_.GenerationOf(node);
+    sender.started_at = world_.Now();
   }
   return sender;
 }
 
 void LimitedTraffic::Play(int milliseconds) {
-  std::poisson_distribution<int> requests(wanted_ * kStep / kMillisecondsPerSecond);
+  std::poisson_distribution<int> requests(request_rate_ * kStepMs / kMillisecondsPerSecond);
   std::uniform_int_distribution<int> nodes(0, world_.Nodes() - 1);
   for (const int until = world_.Now() + milliseconds; world_.Now() < until;) {
-    world_.Play(kStep);
+    world_.Play(kStepMs);
     while (!events_.empty() && events_.begin()->first <= world_.Now()) {
-      const auto what = std::move(events_.begin()->second);
+      const auto callback = std::move(events_.begin()->second);
       events_.erase(events_.begin());
-      what();
+      callback();
     }
     for (int node = 0; node < world_.Nodes(); ++node) {
-      SenderOf(node);  // notices new processes
+      SenderOf(node);  // resets the state of new processes
     }
     for (int count = requests(random_); count > 0; --count) {
-      Request(nodes(random_));
+      GenerateRequest(nodes(random_));
     }
   }
 }
 
-void LimitedTraffic::Request(int node) {
+void LimitedTraffic::GenerateRequest(int node) {
   if (!world_.Runs(node) || !world_.ViewOf(node)) {
     return;
   }
@@ -76,7 +76,7 @@
   sender.watch.Received(view.limits);
   switch (sender.watch.StandingOf(kEndpoint, view.live_nodes, world_.Time())) {
     case LimitStanding::kUnlimited:
-      Send(node, sender.life, world_.Now() + kOnItsWay);
+      SendRequest(node, sender.generation, world_.Now() + kNetworkDelayMs);
       return;
     case LimitStanding::kRefused:
       return;
@@ -84,25 +84,25 @@
     case LimitStanding::kUnobserved:
       break;
   }
-  const PermitAnswer answer = AskForPermit(node, view);
+  const PermitAnswer answer = RequestPermit(node, view);
   if (answer.verdict == PermitVerdict::kGranted) {
     sender.watch.Asked(kEndpoint);
     const int wait = static_cast<int>(answer.wait.count());
-    Send(node, sender.life, world_.Now() + kOnItsWay + wait);
+    SendRequest(node, sender.generation, world_.Now() + kNetworkDelayMs + wait);
   } else {
     const bool refused = answer.verdict == PermitVerdict::kRefused;
     if (refused) {
       sender.watch.Asked(kEndpoint);
     } else if (sender.watch.MaySendUnasked(kEndpoint, view.live_nodes, world_.Time())) {
-      Send(node, sender.life, world_.Now() + kOnItsWay);
+      SendRequest(node, sender.generation, world_.Now() + kNetworkDelayMs);
       return;
     }
-    sender.watch.Refused(kEndpoint, refused ? answer.wait : kAskAgain, view.live_nodes,
+    sender.watch.Refused(kEndpoint, refused ? answer.wait : kPermitRetryDelay, view.live_nodes,
                          world_.Time());
   }
 }
 
-PermitAnswer LimitedTraffic::AskForPermit(int node, const FleetView& view) {
+PermitAnswer LimitedTraffic::RequestPermit(int node, const FleetView& view) {
   const bool by_holder = world_.Time() < view.holder_permits_until;
   const auto granter = world_.Answering(node, by_holder ? view.quota_holder : view.deputy);
   const double limit = *SenderOf(node).watch.LimitOf(kEndpoint);
@@ -113,24 +113,25 @@
   return SenderOf(*granter).permits.Ask({kEndpoint, limit, kMostPermitWait}, basis, world_.Time());
 }
 
-void LimitedTraffic::Send(int node, int life, int at) {
-  At(at, [this, node, life] { Arrive(node, life); });
+void LimitedTraffic::SendRequest(int node, int generation, int time) {
+  ScheduleAt(time, [this, node, generation] { HandleArrival(node, generation); });
 }
 
-void LimitedTraffic::Arrive(int node, int life) {
-  if (!world_.Runs(node) || world_.LifeOf(node) != life) {
+void LimitedTraffic::HandleArrival(int node, int generation) {
+  if (!world_.Runs(node) || world_.GenerationOf(node) != generation) {
     return;
   }
   const Sender& sender = SenderOf(node);
   const int now = world_.Now();
-  const bool known = limited_since_ && now >= *limited_since_ + kKnownAfter;
-  const Arrival arrival{now, known && now >= sender.began_at + kKnownAfter};
+  const bool known = limited_since_ && now >= *limited_since_ + kSettlingTimeMs;
+  const Arrival arrival{now, known && now >= sender.started_at + kSettlingTimeMs};
   arrivals_.push_back(arrival);
-  At(now + kServed, [=, this, limit = limit_] { Answer(node, life, limit, now); });
+  ScheduleAt(now + kServiceTimeMs,
+             [=, this, limit = limit_] { HandleResponse(node, generation, limit, now); });
 }
 
-void LimitedTraffic::Answer(int node, int life, double limit, int sent_at) {
-  if (!world_.Runs(node) || world_.LifeOf(node) != life) {
+void LimitedTraffic::HandleResponse(int node, int generation, double limit, int sent_at) {
+  if (!world_.Runs(node) || world_.GenerationOf(node) != generation) {
     return;
   }
   Sender& sender = SenderOf(node);
@@ -150,11 +151,11 @@
   std::deque<int> window;
   std::size_t most = 0;
   for (const Arrival& arrival : arrivals_) {
-    if (!arrival.counts) {
+    if (!arrival.counted) {
       continue;
     }
-    window.push_back(arrival.at);
-    while (window.front() < arrival.at - kWindow) {
+    window.push_back(arrival.time);
+    while (window.front() < arrival.time - kWindowMs) {
       window.pop_front();
     }
     most = std::max(most, window.size());
@@ -165,7 +166,7 @@
 int LimitedTraffic::Arrived(int milliseconds) const {
   return static_cast<int>(std::count_if(
       arrivals_.begin(), arrivals_.end(),
-      [&](const Arrival& arrival) { return arrival.at > world_.Now() - milliseconds; }));
+      [&](const Arrival& arrival) { return arrival.time > world_.Now() - milliseconds; }));
 }
 
 int LimitedTraffic::NodesThatLimit() const {
--- a/tests/fakes/limited_traffic.hpp
+++ b/tests/fakes/limited_traffic.hpp
@@ -1,4 +1,4 @@
-// Requests for one endpoint that accepts only so many a second, sent by a fleet in simulated time.
+// Simulates the requests that a fleet sends to one rate-limited endpoint, on a virtual clock.
 #ifndef RUDDERLOOM_TESTS_FAKES_LIMITED_TRAFFIC_HPP
 #define RUDDERLOOM_TESTS_FAKES_LIMITED_TRAFFIC_HPP
 
@@ -13,44 +13,46 @@
 
 class LimitedTraffic {
  public:
-  // `wanted`: requests a second that come for the endpoint, at all nodes alike.
-  LimitedTraffic(FleetWorld& world, double wanted, unsigned seed);
+  /// @brief `request_rate` requests per second arrive for the endpoint, each at a node chosen
+  /// uniformly at random.
+  LimitedTraffic(FleetWorld& world, double request_rate, unsigned seed);
 
-  // From now on the endpoint's answers announce this; 0: none.
+  /// @brief Sets the limit that responses of the endpoint announce from now on; 0 announces none.
   void Announce(double requests_per_second);
 
   void Play(int milliseconds);
 
-  // Most requests within 4 s, of those that came 3 s or more after the first announcement. Only
-  // what a process sent in its first 3 s is left out, as it may not know the limit yet.
+  /// @brief Returns the highest number of requests within 4 s, counted from 3 s after the first
+  /// announcement. Requests in the first 3 s of a process do not count, as it may not know the
+  /// limit yet.
   int MostInWindow() const;
-  // Requests that came within the last so many milliseconds.
+  /// @brief Returns how many requests arrived within the last `milliseconds`.
   int Arrived(int milliseconds) const;
-  // Nodes whose traffic takes the endpoint for limited.
+  /// @brief Returns how many nodes treat the endpoint as limited.
   int NodesThatLimit() const;
 
  private:
   struct Sender {
     LimitWatch watch{0.0};
     PermitBook permits;
-    int life = -1;     // of the node's processes, that this is of
-    int began_at = 0;  // this life
+    int generation = -1;  // number of the node process that this state belongs to
+    int started_at = 0;   // start time of that process
   };
   struct Arrival {
-    int at = 0;
-    bool counts = false;
+    int time = 0;
+    bool counted = false;
   };
 
   Sender& SenderOf(int node);
-  void Request(int node);
-  PermitAnswer AskForPermit(int node, const FleetView& view);
-  void Send(int node, int life, int at);
-  void Arrive(int node, int life);
-  void Answer(int node, int life, double limit, int sent_at);
-  void At(int moment, std::function<void()> what);
+  void GenerateRequest(int node);
+  PermitAnswer RequestPermit(int node, const FleetView& view);
+  void SendRequest(int node, int generation, int time);
+  void HandleArrival(int node, int generation);
+  void HandleResponse(int node, int generation, double limit, int sent_at);
+  void ScheduleAt(int time, std::function<void()> callback);
 
   FleetWorld& world_;
-  double wanted_;
+  double request_rate_;
   std::mt19937 random_;
   std::vector<Sender> senders_;
   std::multimap<int, std::function<void()>> events_;
--- a/tests/fakes/pool_world.cpp
+++ b/tests/fakes/pool_world.cpp
@@ -7,21 +7,21 @@
 
 namespace {
 
-constexpr Duration kTick{100};
-constexpr Duration kNetwork{5};
+constexpr Duration kTickInterval{100};
+constexpr Duration kNetworkDelay{5};
 constexpr Duration kLoadTime{1'000};
-constexpr Duration kRunLength{230'000};
-constexpr Duration kFaultLength{20'000};
-constexpr Duration kCopyAge{5'000};
-constexpr Duration kFreezeLength{45'000};
-constexpr Duration kLateBy{20'000};
-constexpr Duration kReplacedAfter{5'000};
+constexpr Duration kRunDuration{230'000};
+constexpr Duration kFaultDuration{20'000};
+constexpr Duration kRestoredSnapshotAge{5'000};
+constexpr Duration kFreezeDuration{45'000};
+constexpr Duration kLateOrderDelay{20'000};
+constexpr Duration kReplacementDelay{5'000};
 constexpr Duration kListLag{10'000};
 constexpr std::uint64_t kEndpointMemory = 8;
 constexpr std::uint64_t kUnitMemory = 4;
 
-constexpr int kVersions = 20;
-constexpr Duration kVersionEvery{4'000};
+constexpr int kVersionCount = 20;
+constexpr Duration kVersionInterval{4'000};
 
 const std::vector<std::string> kNames{"a", "b", "c", "d"};
 
@@ -41,7 +41,7 @@
     std::uint64_t epoch = 0;
     std::map<std::string, std::uint64_t> sequences;
     std::uint64_t starts = 0;
-    // Reports as taken, oldest first, so that late ones can be given out.
+    // Reports in order of creation, so that late ones can be delivered.
     std::multimap<TimePoint, std::set<std::string>> reports;
   };
 
@@ -52,11 +52,13 @@
     bool alive = true;
     TimePoint frozen_until;
     TimePoint died_at;
-    std::uint64_t quiet_heard = 0;            // as the others heard it last
-    std::vector<std::function<void()>> held;  // what arrived while it was frozen
+    std::uint64_t reported_quiet_epoch = 0;  // last value that the other nodes received
+    std::vector<std::function<void()>>
+        deferred;  // callbacks that came due while the node was frozen
   };
 
-  explicit Impl(WorldSettings given) : settings(std::move(given)), random(settings.seed) {
+  explicit Impl(WorldSettings initial_settings)
+      : settings(std::move(initial_settings)), random(settings.seed) {
     residency.late_order_bound = Duration(40'000);
     residency.loads_per_second = 10.0;
     for (const char* name : {"ep1", "ep2", "ep3"}) {
@@ -71,101 +73,105 @@
 
   // --- clock ---
 
-  void At(TimePoint time, std::function<void()> what) { events.emplace(time, std::move(what)); }
-  void After(Duration pause, std::function<void()> what) { At(now + pause, std::move(what)); }
+  void ScheduleAt(TimePoint time, std::function<void()> callback) {
+    events.emplace(time, std::move(callback));
+  }
+  void ScheduleAfter(Duration pause, std::function<void()> callback) {
+    ScheduleAt(now + pause, std::move(callback));
+  }
 
   void RunUntil(TimePoint end) {
     while (!events.empty() && events.begin()->first <= end) {
       now = events.begin()->first;
-      const auto what = std::move(events.begin()->second);
+      const auto callback = std::move(events.begin()->second);
       events.erase(events.begin());
-      what();
+      callback();
     }
     now = end;
   }
 
   // --- faults ---
 
-  bool Is(Fault fault) const {
-    return fired && now < fault_until &&
+  bool FaultActive(Fault fault) const {
+    return fault_triggered && now < fault_until &&
            std::find(settings.faults.begin(), settings.faults.end(), fault) !=
                settings.faults.end();
   }
 
-  // True once per run, for faults that hit one message.
-  bool Take(Fault fault) {
-    if (!Is(fault) || taken.contains(fault)) {
+  // Returns true once per run, for faults that affect a single message.
+  bool ConsumeFault(Fault fault) {
+    if (!FaultActive(fault) || consumed_faults.contains(fault)) {
       return false;
     }
-    taken.insert(fault);
+    consumed_faults.insert(fault);
     return true;
   }
 
-  void Reach(Step step, bool load, Node& node, const std::string& endpoint) {
-    if (fired || now < begin_faults || step != settings.step) {
+  void ReachStep(Step step, bool load, Node& node, const std::string& endpoint) {
+    if (fault_triggered || now < begin_faults || step != settings.step) {
       return;
     }
     const bool about_orders = static_cast<int>(step) <= static_cast<int>(Step::kRecorded);
     if (about_orders && load != settings.on_load) {
       return;
     }
-    fired = true;
-    fault_until = now + kFaultLength;
-    Tell("fault at " + NameOf(step));
+    fault_triggered = true;
+    fault_until = now + kFaultDuration;
+    Log("fault at " + NameOf(step));
     for (const Fault fault : settings.faults) {
-      Strike(fault, node, endpoint);
+      ApplyFault(fault, node, endpoint);
     }
   }
 
-  void Strike(Fault fault, Node& node, const std::string& endpoint) {
-    const std::string place = endpoint.empty() ? "ep1" : endpoint;
+  void ApplyFault(Fault fault, Node& node, const std::string& endpoint) {
+    const std::string endpoint_name = endpoint.empty() ? "ep1" : endpoint;
     switch (fault) {
       case Fault::kNodeKilled:
         Kill(node);
         break;
       case Fault::kNodeFrozen:
-        node.frozen_until = now + kFreezeLength;
+        node.frozen_until = now + kFreezeDuration;
         break;
       case Fault::kPlannedStop:
         node.keeper->Stop();
         stopping = &node;
         break;
       case Fault::kEndpointKilled:
-        endpoints[place].alive = false;
-        endpoints[place].units.clear();
-        After(kListLag, [this, place] { endpoints[place].listed = false; });
+        endpoints[endpoint_name].alive = false;
+        endpoints[endpoint_name].units.clear();
+        ScheduleAfter(kListLag, [this, endpoint_name] { endpoints[endpoint_name].listed = false; });
         break;
       case Fault::kEndpointRestarted:
-        endpoints[place].units.clear();
-        endpoints[place].epoch = 0;
-        endpoints[place].sequences.clear();
-        ++endpoints[place].starts;
+        endpoints[endpoint_name].units.clear();
+        endpoints[endpoint_name].epoch = 0;
+        endpoints[endpoint_name].sequences.clear();
+        ++endpoints[endpoint_name].starts;
         break;
       case Fault::kEndpointLeaving:
-        endpoints[place].leaving = true;
+        endpoints[endpoint_name].leaving = true;
         break;
       case Fault::kPlatformRestored:
         RestorePlatform();
         break;
       default:
-        break;  // heeded where it matters
+        break;  // checked where the fault takes effect
     }
   }
 
   void RestorePlatform() {
-    const auto newer = copies.upper_bound(now - kCopyAge);
-    if (newer != copies.begin()) {
+    const auto newer = snapshots.upper_bound(now - kRestoredSnapshotAge);
+    if (newer != snapshots.begin()) {
       std::tie(record, version) = std::prev(newer)->second;
     }
-    copies.clear();
-    copies[now] = {record, version};
+    snapshots.clear();
+    snapshots[now] = {record, version};
   }
 
   void Kill(Node& node) {
     node.alive = false;
     node.died_at = now;
     const std::string name = node.name;
-    After(kReplacedAfter, [this, name] { AddNode(name); });
+    ScheduleAfter(kReplacementDelay, [this, name] { AddNode(name); });
   }
 
   void AddNode(const std::string& name) {
@@ -179,16 +185,16 @@
     WatchNode(added);
   }
 
-  // Runs something on a node, later if it is frozen, never if it is dead.
-  void OnNode(Node& node, std::function<void()> what) {
+  // Runs `callback` on a node; defers it while the node is frozen, drops it if the node is dead.
+  void OnNode(Node& node, std::function<void()> callback) {
     if (!node.alive) {
       return;
     }
     if (now < node.frozen_until) {
-      node.held.push_back(std::move(what));
+      node.deferred.push_back(std::move(callback));
       return;
     }
-    what();
+    callback();
   }
 
   void TickNode(Node& node) {
@@ -196,41 +202,41 @@
       return;
     }
     if (now >= node.frozen_until) {
-      auto held = std::move(node.held);
-      node.held.clear();
-      for (const auto& what : held) {
-        what();
+      auto deferred = std::move(node.deferred);
+      node.deferred.clear();
+      for (const auto& callback : deferred) {
+        callback();
       }
-      // One tick before the node hears anything new: it may act on what it knew.
+      // The node ticks once before it receives anything new, so it may act on stale state.
       Execute(node, node.keeper->Tick(ViewFor(node), now));
-      node.quiet_heard = node.keeper->QuietEpoch();
+      node.reported_quiet_epoch = node.keeper->QuietEpoch();
     }
-    After(kTick, [this, &node] { TickNode(node); });
+    ScheduleAfter(kTickInterval, [this, &node] { TickNode(node); });
   }
 
   void WatchNode(Node& node) {
     if (!node.alive) {
       return;
     }
-    const Duration delay = Is(Fault::kWatchBehind) ? Duration(8'000) : kNetwork;
-    if (!Is(Fault::kWatchSilent) && !Is(Fault::kPlatformDown) && version > 0) {
+    const Duration delay = FaultActive(Fault::kWatchBehind) ? Duration(8'000) : kNetworkDelay;
+    if (!FaultActive(Fault::kWatchSilent) && !FaultActive(Fault::kPlatformDown) && version > 0) {
       const PoolRecord seen = record;
-      const StoreRevision seen_version = Present();
-      After(delay, [this, &node, seen, seen_version] {
+      const StoreRevision seen_version = CurrentVersion();
+      ScheduleAfter(delay, [this, &node, seen, seen_version] {
         OnNode(node, [this, &node, seen, seen_version] {
           node.keeper->Seen(seen, seen_version, PoolSight::kWatched, now);
         });
       });
     }
-    After(kTick, [this, &node] { WatchNode(node); });
+    ScheduleAfter(kTickInterval, [this, &node] { WatchNode(node); });
   }
 
-  // --- what a node sees ---
+  // --- view of a node ---
 
   PoolView ViewFor(const Node& self) {
     PoolView view;
     view.listed = true;
-    const Duration lag = Is(Fault::kReportLate) ? Duration(2'500) : Duration(200);
+    const Duration lag = FaultActive(Fault::kReportLate) ? Duration(2'500) : Duration(200);
     for (auto& [name, endpoint] : endpoints) {
       if (!endpoint.listed) {
         continue;
@@ -244,20 +250,20 @@
         }
         endpoint.reports.emplace(now, units);
       }
-      PoolEndpoint shown;
-      shown.name = name;
-      shown.address = name;
-      shown.memory = kEndpointMemory;
-      shown.checks_fences = settings.checks_fences;
-      shown.usable = endpoint.alive && !endpoint.leaving;
+      PoolEndpoint view_endpoint;
+      view_endpoint.name = name;
+      view_endpoint.address = name;
+      view_endpoint.memory = kEndpointMemory;
+      view_endpoint.checks_fences = settings.checks_fences;
+      view_endpoint.usable = endpoint.alive && !endpoint.leaving;
       auto report = endpoint.reports.upper_bound(now - lag);
       if (report != endpoint.reports.begin()) {
         --report;
-        shown.reported_at = now;  // a lagging report still counts as heard now
-        shown.resident = report->second;
+        view_endpoint.reported_at = now;  // a delayed report still counts as received now
+        view_endpoint.resident = report->second;
         endpoint.reports.erase(endpoint.reports.begin(), report);
       }
-      view.endpoints.push_back(std::move(shown));
+      view.endpoints.push_back(std::move(view_endpoint));
     }
     for (const auto& [name, number] : versions) {
       WantedUnit wanted;
@@ -272,9 +278,10 @@
           continue;
         }
         if (!node->alive) {
-          return now - node->died_at > kListLag && !Is(Fault::kNodeListStale);
+          return now - node->died_at > kListLag && !FaultActive(Fault::kNodeListStale);
         }
-        return &self == node.get() || (now >= node->frozen_until && node->quiet_heard >= epoch);
+        return &self == node.get() ||
+               (now >= node->frozen_until && node->reported_quiet_epoch >= epoch);
       }
       return false;
     };
@@ -290,36 +297,40 @@
       } else if (std::holds_alternative<ReadPool>(effect)) {
         Read(node);
       } else if (const auto* order = std::get_if<Order>(&effect)) {
-        Send(node, *order);
+        SendOrder(node, *order);
       } else {
         const auto& move = std::get<MoveDecided>(effect);
         ++findings.moves;
-        Tell("decided " + move.unit + (move.kind == PlanAction::Kind::kLoad ? " onto " : " off ") +
-             move.endpoint);
-        Reach(Step::kDecided, move.kind == PlanAction::Kind::kLoad, node, move.endpoint);
+        Log("decided " + move.unit + (move.kind == PlanAction::Kind::kLoad ? " onto " : " off ") +
+            move.endpoint);
+        ReachStep(Step::kDecided, move.kind == PlanAction::Kind::kLoad, node, move.endpoint);
       }
     }
   }
 
-  Duration StoreTime() const { return Is(Fault::kPlatformSlow) ? Duration(1'200) : kNetwork; }
+  Duration StoreLatency() const {
+    return FaultActive(Fault::kPlatformSlow) ? Duration(1'200) : kNetworkDelay;
+  }
 
-  StoreRevision Present() const { return {0, static_cast<std::uint64_t>(version)}; }
+  StoreRevision CurrentVersion() const { return {0, static_cast<std::uint64_t>(version)}; }
 
   void Write(Node& node, const WritePool& write) {
-    After(StoreTime(), [this, &node, write] {
-      const bool unreachable = Is(Fault::kPlatformDown) || Is(Fault::kPlatformErrors);
-      if (unreachable || write.version != Present()) {
-        After(kNetwork,
-              [this, &node] { OnNode(node, [this, &node] { node.keeper->WriteFailed(now); }); });
+    ScheduleAfter(StoreLatency(), [this, &node, write] {
+      const bool unreachable =
+          FaultActive(Fault::kPlatformDown) || FaultActive(Fault::kPlatformErrors);
+      if (unreachable || write.version != CurrentVersion()) {
+        ScheduleAfter(kNetworkDelay, [this, &node] {
+          OnNode(node, [this, &node] { node.keeper->WriteFailed(now); });
+        });
         return;
       }
       const PoolRecord before = record;
       record = write.record;
       ++version;
-      copies[now] = {record, version};
-      const StoreRevision written = Present();
-      const bool lost = Take(Fault::kPlatformLosesAnswer);
-      After(kNetwork, [this, &node, written, lost] {
+      snapshots[now] = {record, version};
+      const StoreRevision written = CurrentVersion();
+      const bool lost = ConsumeFault(Fault::kPlatformLosesAnswer);
+      ScheduleAfter(kNetworkDelay, [this, &node, written, lost] {
         OnNode(node, [this, &node, written, lost] {
           if (lost) {
             node.keeper->WriteFailed(now);
@@ -328,21 +339,21 @@
           }
         });
       });
-      Noticed(node, before);
+      DetectCompletedSteps(node, before);
     });
   }
 
-  // Tells which steps this write completed.
-  void Noticed(Node& node, const PoolRecord& before) {
+  // Signals the steps that this write completed.
+  void DetectCompletedSteps(Node& node, const PoolRecord& before) {
     if (record.epoch != before.epoch) {
-      Tell("lease to " + record.incarnation + " epoch " + std::to_string(record.epoch));
-      Reach(before.epoch == 0 || before.holder.empty() ? Step::kLeaseTaken : Step::kLeaseLapsed,
-            true, node, "");
-      Reach(Step::kLeaseTaken, true, node, "");
+      Log("lease to " + record.incarnation + " epoch " + std::to_string(record.epoch));
+      ReachStep(before.epoch == 0 || before.holder.empty() ? Step::kLeaseTaken : Step::kLeaseLapsed,
+                true, node, "");
+      ReachStep(Step::kLeaseTaken, true, node, "");
     } else if (record.holder.empty()) {
-      Reach(Step::kLeaseHandedOver, true, node, "");
+      ReachStep(Step::kLeaseHandedOver, true, node, "");
     } else {
-      Reach(Step::kLeaseRenewed, true, node, "");
+      ReachStep(Step::kLeaseRenewed, true, node, "");
     }
     for (const auto& [key, reservation] : record.reservations) {
       const auto old = before.reservations.find(key);
@@ -351,29 +362,29 @@
         continue;
       }
       if (reservation.state == UnitState::kLoading) {
-        Reach(Step::kIntended, true, node, key.first);
+        ReachStep(Step::kIntended, true, node, key.first);
       } else if (reservation.state == UnitState::kUnloading) {
-        Reach(Step::kIntended, false, node, key.first);
+        ReachStep(Step::kIntended, false, node, key.first);
       } else if (reservation.state == UnitState::kResident) {
-        Reach(Step::kRecorded, true, node, key.first);
+        ReachStep(Step::kRecorded, true, node, key.first);
       }
     }
     for (const auto& [key, reservation] : before.reservations) {
-      const auto now_there = record.reservations.find(key);
-      const bool ended = now_there == record.reservations.end() ||
-                         now_there->second.state == UnitState::kLingering;
+      const auto current = record.reservations.find(key);
+      const bool ended =
+          current == record.reservations.end() || current->second.state == UnitState::kLingering;
       if (reservation.state == UnitState::kUnloading && ended) {
-        Reach(Step::kRecorded, false, node, key.first);
+        ReachStep(Step::kRecorded, false, node, key.first);
       }
     }
   }
 
   void Read(Node& node) {
-    After(StoreTime(), [this, &node] {
-      const bool failed = Is(Fault::kPlatformDown) || Is(Fault::kPlatformErrors);
+    ScheduleAfter(StoreLatency(), [this, &node] {
+      const bool failed = FaultActive(Fault::kPlatformDown) || FaultActive(Fault::kPlatformErrors);
       const PoolRecord read = record;
-      const auto read_version = version == 0 ? std::nullopt : std::optional(Present());
-      After(kNetwork, [this, &node, failed, read, read_version] {
+      const auto read_version = version == 0 ? std::nullopt : std::optional(CurrentVersion());
+      ScheduleAfter(kNetworkDelay, [this, &node, failed, read, read_version] {
         OnNode(node, [this, &node, failed, read, read_version] {
           if (failed) {
             node.keeper->ReadFailed();
@@ -385,60 +396,62 @@
     });
   }
 
-  // The order leaves a little after it was decided: a freeze may lie between.
-  void Send(Node& node, const Order& order) {
-    After(Duration(1), [this, &node, order] {
+  // Sends the order shortly after the decision, so that a freeze can fall in between.
+  void SendOrder(Node& node, const Order& order) {
+    ScheduleAfter(Duration(1), [this, &node, order] {
       if (!node.alive) {
         return;
       }
       if (now >= order.valid_until) {
-        Answer(node, order, OrderOutcome::kNotSent);
+        DeliverOutcome(node, order, OrderOutcome::kNotSent);
         return;
       }
-      Reach(Step::kSent, order.load, node, order.endpoint);
+      ReachStep(Step::kSent, order.load, node, order.endpoint);
       if (!node.alive) {
         return;
       }
-      // A process frozen just after it looked at its lease sends when it thaws.
+      // A process that freezes right after checking its lease sends the order when it resumes.
       const TimePoint leaves = std::max(now, node.frozen_until);
-      At(leaves, [this, &node, order] { Leave(node, order); });
+      ScheduleAt(leaves, [this, &node, order] { TransmitOrder(node, order); });
     });
   }
 
-  void Leave(Node& node, const Order& order) {
+  void TransmitOrder(Node& node, const Order& order) {
     if (!node.alive) {
       return;
     }
-    Tell("sent " + order.unit + " seq " + std::to_string(order.sequence));
-    if (Take(Fault::kCutBefore)) {
-      Answer(node, order, OrderOutcome::kNotSent);
+    Log("sent " + order.unit + " seq " + std::to_string(order.sequence));
+    if (ConsumeFault(Fault::kCutBefore)) {
+      DeliverOutcome(node, order, OrderOutcome::kNotSent);
       return;
     }
-    if (Take(Fault::kOrderLost) || Take(Fault::kCutDuring)) {
-      Answer(node, order, OrderOutcome::kUnknown);
+    if (ConsumeFault(Fault::kOrderLost) || ConsumeFault(Fault::kCutDuring)) {
+      DeliverOutcome(node, order, OrderOutcome::kUnknown);
       return;
     }
-    if (Take(Fault::kOrderLate)) {
-      Answer(node, order, OrderOutcome::kUnknown);
-      After(kLateBy, [this, order] { Arrive(nullptr, order, false); });
+    if (ConsumeFault(Fault::kOrderLate)) {
+      DeliverOutcome(node, order, OrderOutcome::kUnknown);
+      ScheduleAfter(kLateOrderDelay, [this, order] { ReceiveOrder(nullptr, order, false); });
       return;
     }
-    if (Take(Fault::kOrderDoubled)) {
-      // Two copies left; the first one's connection broke, so the answer is not known.
-      After(Duration(15'000), [this, order] { Arrive(nullptr, order, false); });
-      After(kNetwork, [this, &node, order] { Arrive(&node, order, true); });
+    if (ConsumeFault(Fault::kOrderDoubled)) {
+      // Two copies are sent; the connection of the first one breaks, so its outcome is unknown.
+      ScheduleAfter(Duration(15'000), [this, order] { ReceiveOrder(nullptr, order, false); });
+      ScheduleAfter(kNetworkDelay, [this, &node, order] { ReceiveOrder(&node, order, true); });
       return;
     }
-    const bool lose_answer = Take(Fault::kCutAfter);
-    After(kNetwork, [this, &node, order, lose_answer] { Arrive(&node, order, lose_answer); });
+    const bool lose_response = ConsumeFault(Fault::kCutAfter);
+    ScheduleAfter(kNetworkDelay, [this, &node, order, lose_response] {
+      ReceiveOrder(&node, order, lose_response);
+    });
   }
 
-  void Answer(Node& node, const Order& order, OrderOutcome outcome) {
-    After(kNetwork, [this, &node, order, outcome] {
+  void DeliverOutcome(Node& node, const Order& order, OrderOutcome outcome) {
+    ScheduleAfter(kNetworkDelay, [this, &node, order, outcome] {
       OnNode(node, [this, &node, order, outcome] {
         node.keeper->OrderEnded(order, outcome, now);
         if (outcome == OrderOutcome::kDone) {
-          Reach(Step::kConfirmed, order.load, node, order.endpoint);
+          ReachStep(Step::kConfirmed, order.load, node, order.endpoint);
         }
       });
     });
@@ -446,69 +459,69 @@
 
   // --- endpoints ---
 
-  void Arrive(Node* node, const Order& order, bool lose_answer) {
+  void ReceiveOrder(Node* node, const Order& order, bool lose_response) {
     Endpoint& endpoint = endpoints[order.endpoint];
-    const auto answer = [this, node, order, lose_answer](OrderOutcome outcome) {
+    const auto reply = [this, node, order, lose_response](OrderOutcome outcome) {
       if (node != nullptr) {
-        Answer(*node, order, lose_answer ? OrderOutcome::kUnknown : outcome);
+        DeliverOutcome(*node, order, lose_response ? OrderOutcome::kUnknown : outcome);
       }
     };
     if (!endpoint.alive) {
-      answer(OrderOutcome::kNotSent);
+      reply(OrderOutcome::kNotSent);
       return;
     }
     std::uint64_t& sequence = endpoint.sequences[order.unit];
     if (settings.checks_fences && (order.epoch < endpoint.epoch || order.sequence < sequence)) {
-      answer(OrderOutcome::kFenced);
+      reply(OrderOutcome::kFenced);
       return;
     }
     endpoint.epoch = std::max(endpoint.epoch, order.epoch);
     sequence = std::max(sequence, order.sequence);
     if (node != nullptr) {
-      Reach(Step::kTakingEffect, order.load, *node, order.endpoint);
+      ReachStep(Step::kTakingEffect, order.load, *node, order.endpoint);
       if (!endpoint.alive) {
-        answer(OrderOutcome::kUnknown);
+        reply(OrderOutcome::kUnknown);
         return;
       }
     }
     if (!order.load) {
       endpoint.units.erase(order.unit);
-      answer(OrderOutcome::kDone);
+      reply(OrderOutcome::kDone);
       return;
     }
     if (endpoint.units.contains(order.unit)) {
-      answer(endpoint.units[order.unit] ? OrderOutcome::kDone : OrderOutcome::kNotYet);
+      reply(endpoint.units[order.unit] ? OrderOutcome::kDone : OrderOutcome::kNotYet);
       return;
     }
-    if (Is(Fault::kWeightStoreBusy)) {
-      answer(OrderOutcome::kNotYet);
+    if (FaultActive(Fault::kWeightStoreBusy)) {
+      reply(OrderOutcome::kNotYet);
       return;
     }
     if ((endpoint.units.size() + 1) * kUnitMemory > kEndpointMemory) {
       ++findings.overcommits;
-      Tell("OVERCOMMIT by " + order.unit + " on " + order.endpoint);
-      answer(OrderOutcome::kNoMemory);
+      Log("OVERCOMMIT by " + order.unit + " on " + order.endpoint);
+      reply(OrderOutcome::kNoMemory);
       return;
     }
     endpoint.units[order.unit] = false;
     const std::uint64_t start = endpoint.starts;
-    After(kLoadTime, [this, order, answer, start] {
+    ScheduleAfter(kLoadTime, [this, order, reply, start] {
       Endpoint& loading = endpoints[order.endpoint];
       const auto found = loading.units.find(order.unit);
       if (!loading.alive || loading.starts != start || found == loading.units.end()) {
-        answer(OrderOutcome::kUnknown);
+        reply(OrderOutcome::kUnknown);
         return;
       }
       found->second = true;
-      Tell("resident " + order.unit + " on " + order.endpoint);
-      answer(OrderOutcome::kDone);
+      Log("resident " + order.unit + " on " + order.endpoint);
+      reply(OrderOutcome::kDone);
     });
   }
 
   // --- checks ---
 
   bool Serves(const std::string& name) const {
-    for (const auto& [place, endpoint] : endpoints) {
+    for (const auto& [endpoint_name, endpoint] : endpoints) {
       for (const auto& [unit, loaded] : endpoint.units) {
         if (endpoint.alive && !endpoint.leaving && loaded && BaseName(unit) == name) {
           return true;
@@ -530,27 +543,27 @@
       }
       findings.longest_gap = std::max(findings.longest_gap, Between(last->second, now));
     }
-    After(kTick, [this] { Check(); });
+    ScheduleAfter(kTickInterval, [this] { Check(); });
   }
 
   bool Converged() const {
     for (const auto& [name, number] : versions) {
       const std::string unit = name + "@" + std::to_string(number);
-      bool there = false;
-      for (const auto& [place, endpoint] : endpoints) {
+      bool served = false;
+      for (const auto& [endpoint_name, endpoint] : endpoints) {
         const auto found = endpoint.units.find(unit);
-        there = there || (endpoint.alive && !endpoint.leaving && found != endpoint.units.end() &&
-                          found->second);
+        served = served || (endpoint.alive && !endpoint.leaving && found != endpoint.units.end() &&
+                            found->second);
       }
-      if (!there) {
+      if (!served) {
         return false;
       }
     }
     return true;
   }
 
-  void Tell(const std::string& what) {
-    findings.story += std::to_string(Between(TimePoint(), now).count()) + " " + what + "\n";
+  void Log(const std::string& message) {
+    findings.story += std::to_string(Between(TimePoint(), now).count()) + " " + message + "\n";
   }
 
   WorldSettings settings;
@@ -559,8 +572,8 @@
   TimePoint now{std::chrono::hours(1)};
   TimePoint begin_faults;
   TimePoint fault_until;
-  bool fired = false;
-  std::set<Fault> taken;
+  bool fault_triggered = false;
+  std::set<Fault> consumed_faults;
   Node* stopping = nullptr;
   std::multimap<TimePoint, std::function<void()>> events;
   std::map<std::string, Endpoint> endpoints;
@@ -569,7 +582,7 @@
   std::map<std::string, int> versions;
   PoolRecord record;
   std::uint64_t version = 0;
-  std::map<TimePoint, std::pair<PoolRecord, std::uint64_t>> copies;  // by when they were made
+  std::map<TimePoint, std::pair<PoolRecord, std::uint64_t>> snapshots;  // by creation time
   std::map<std::string, TimePoint> served_at;
   Findings findings;
 };
@@ -583,20 +596,21 @@
   const TimePoint start = world.now;
   world.begin_faults = start + Duration(30'000);
   world.Check();
-  // One name changes its version again and again: units loaded around the fault are soon unloaded,
-  // and their room goes to others while copies of their orders may still be under way.
-  for (int i = 0; i < kVersions; ++i) {
-    world.At(start + Duration(30'000) + kVersionEvery * i, [&world] { ++world.versions["a"]; });
+  // One name changes its version repeatedly: units loaded around the fault are soon unloaded, and
+  // their memory is reused while copies of their orders may still be in transit.
+  for (int i = 0; i < kVersionCount; ++i) {
+    world.ScheduleAt(start + Duration(30'000) + kVersionInterval * i,
+                     [&world] { ++world.versions["a"]; });
   }
-  world.At(start + Duration(130'000), [&] { world.versions["b"] = 2; });
-  world.At(start + Duration(134'000), [&] { world.versions["c"] = 2; });
+  world.ScheduleAt(start + Duration(130'000), [&] { world.versions["b"] = 2; });
+  world.ScheduleAt(start + Duration(134'000), [&] { world.versions["c"] = 2; });
   if (world.settings.step == Step::kLeaseTaken || world.settings.step == Step::kLeaseLapsed) {
-    // The lease must change hands for these steps to come.
-    world.At(start + Duration(35'000), [&] { world.Kill(*world.nodes[0]); });
-    world.At(start + Duration(35'000), [&] { world.Kill(*world.nodes[1]); });
+    // These steps occur only if the lease changes its holder.
+    world.ScheduleAt(start + Duration(35'000), [&] { world.Kill(*world.nodes[0]); });
+    world.ScheduleAt(start + Duration(35'000), [&] { world.Kill(*world.nodes[1]); });
   }
   if (world.settings.step == Step::kLeaseHandedOver) {
-    world.At(start + Duration(35'000), [&] {
+    world.ScheduleAt(start + Duration(35'000), [&] {
       for (const auto& node : world.nodes) {
         if (node->keeper->Holds(world.now)) {
           node->keeper->Stop();
@@ -604,9 +618,9 @@
       }
     });
   }
-  world.RunUntil(start + kRunLength);
+  world.RunUntil(start + kRunDuration);
   world.findings.converged = world.Converged();
-  world.findings.step_reached = world.fired;
+  world.findings.step_reached = world.fault_triggered;
   return world.findings;
 }
 
--- a/tests/fakes/pool_world.hpp
+++ b/tests/fakes/pool_world.hpp
@@ -1,5 +1,5 @@
-// One pool on a virtual clock: nodes with the real PoolKeeper, a fake platform and fake endpoints.
-// A fault is switched on when a chosen step is reached for the first time.
+// Simulates one pool on a virtual clock: nodes with the production PoolKeeper, a fake platform and
+// fake endpoints. A fault starts when a chosen step is reached for the first time.
 #ifndef RUDDERLOOM_TESTS_FAKES_POOL_WORLD_HPP
 #define RUDDERLOOM_TESTS_FAKES_POOL_WORLD_HPP
 
@@ -40,7 +40,7 @@
   kPlatformSlow,
   kPlatformErrors,
   kPlatformLosesAnswer,
-  kPlatformRestored,  // as it was some seconds ago; versions go back and are given out again
+  kPlatformRestored,  // to a state some seconds old; versions go back and are assigned again
   kWatchSilent,
   kWatchBehind,
   kNodeListStale,
@@ -58,20 +58,21 @@
 struct WorldSettings {
   bool checks_fences = false;
   Step step = Step::kSent;
-  bool on_load = true;  // whether the step is one of a load order or of an unload order
+  bool on_load = true;  // whether the step belongs to a load order or to an unload order
   std::vector<Fault> faults;
   std::uint64_t seed = 1;
 };
 
-// What went wrong over the whole run; all zero is what the tests ask for.
+/// @brief Faulty outcomes and measurements of one run. The tests require the counts of faulty
+/// outcomes to be zero.
 struct Findings {
   int overcommits = 0;
-  int lost_last_copies = 0;  // a name stopped being served though no endpoint was taken away
-  Duration longest_gap{0};   // during which some name was not served
-  bool converged = false;    // at the end every declared unit is served
+  int lost_last_copies = 0;  // a name was no longer served although no endpoint was lost
+  Duration longest_gap{0};   // longest time for which a name was not served
+  bool converged = false;    // whether every declared unit is served at the end
   bool step_reached = false;
   int moves = 0;
-  std::string story;  // for the message of a failed check
+  std::string story;  // event log for the messages of failed checks
 };
 
 class PoolWorld {
@@ -79,7 +80,7 @@
   explicit PoolWorld(WorldSettings settings);
   ~PoolWorld();
 
-  // Runs some virtual minutes: models are loaded, then new versions of them are declared.
+  /// @brief Runs for several virtual minutes: loads models, then declares new versions of them.
   Findings Run();
 
  private:
