--- a/tests/process/cluster.cpp
+++ b/tests/process/cluster.cpp
@@ -18,17 +18,17 @@
 
 namespace {
 
-constexpr Duration kPoll{50};
-constexpr std::size_t kLastLines = 60;
+constexpr Duration kPollInterval{50};
+constexpr std::size_t kLogTailLines = 60;
 
-// Between two looks at a condition.
-void PausePolling() {
+// Blocks for one poll interval.
+void SleepPollInterval() {
   asio::io_context context;
-  Timer timer(context, kPoll);
+  Timer timer(context, kPollInterval);
   timer.wait();
 }
 
-const std::string kBinaries = RUDDERLOOM_BINARIES;
+const std::string kBinaryDirectory = RUDDERLOOM_BINARIES;
 
 }  // namespace
 
@@ -41,7 +41,7 @@
   "kinds": [{"name": "urgent", "priority": 0, "deadline": "5s"}]
 })";
 
-std::string Answer::Header(const std::string& name) const {
+std::string Response::Header(const std::string& name) const {
   for (const auto& [key, value] : headers) {
     if (beast::iequals(key, name)) {
       return value;
@@ -50,7 +50,7 @@
   return "";
 }
 
-json::object Answer::Json() const {
+json::object Response::Json() const {
   json::error_code error;
   const json::value value = json::parse(body, error);
   return error || !value.is_object() ? json::object() : value.as_object();
@@ -63,14 +63,15 @@
       child_(path, bp::args(arguments), bp::std_out > out_, bp::std_err > log_) {
   std::string line;
   std::getline(out_, line);
-  std::istringstream words(line);
-  std::string word;
-  words >> word;
-  if (word != "ready") {
+  std::istringstream ready_line(line);
+  std::string field;
+  ready_line >> field;
+  if (field != "ready") {
     throw std::runtime_error(path + " did not start: " + line);
   }
-  while (words >> word) {
-    addresses_.push_back(word.substr(word.find('=') == std::string::npos ? 0 : word.find('=') + 1));
+  while (ready_line >> field) {
+    addresses_.push_back(
+        field.substr(field.find('=') == std::string::npos ? 0 : field.find('=') + 1));
   }
 }
 
@@ -94,24 +95,24 @@
   child_.wait(error);
 }
 
-int Program::Wait(Duration limit) {
-  const TimePoint until = Now() + limit;
+int Program::Wait(Duration timeout) {
+  const TimePoint deadline = Now() + timeout;
   std::error_code error;
   while (child_.running(error)) {
-    if (Now() >= until) {
+    if (Now() >= deadline) {
       return -1;
     }
-    PausePolling();
+    SleepPollInterval();
   }
   return child_.exit_code();
 }
 
-std::string Program::LastWords() {
+std::string Program::LogTail() {
   std::deque<std::string> lines;
   std::ifstream log(log_);
   for (std::string line; std::getline(log, line);) {
     lines.push_back(std::move(line));
-    if (lines.size() > kLastLines) {
+    if (lines.size() > kLogTailLines) {
       lines.pop_front();
     }
   }
@@ -130,49 +131,49 @@
   std::string pattern =
       (std::filesystem::temp_directory_path() / "rudderloom-test-XXXXXX").string();
   if (::mkdtemp(pattern.data()) == nullptr) {
-    throw std::runtime_error("no folder for the test");
+    throw std::runtime_error("can't create a temporary directory for the test");
   }
-  folder_ = pattern;
+  directory_ = pattern;
 }
 
 Cluster::~Cluster() {
   if (std::uncaught_exceptions() > 0) {
-    for (const std::string& name : order_) {
-      if (const auto found = programs_.find(name); found != programs_.end()) {
-        std::cerr << "-- last words of " << name << "\n" << found->second->LastWords();
+    for (const std::string& name : start_order_) {
+      if (const auto program = programs_.find(name); program != programs_.end()) {
+        std::cerr << "-- end of the log of " << name << "\n" << program->second->LogTail();
       }
     }
   }
-  while (!order_.empty()) {
-    programs_.erase(order_.back());
-    order_.pop_back();
+  while (!start_order_.empty()) {
+    programs_.erase(start_order_.back());
+    start_order_.pop_back();
   }
   std::error_code ignored;
-  std::filesystem::remove_all(folder_, ignored);
+  std::filesystem::remove_all(directory_, ignored);
 }
 
 Program& Cluster::Start(const std::string& name,
                         const std::string& path,
                         const std::vector<std::string>& arguments) {
-  order_.push_back(name);
-  programs_[name] = std::make_unique<Program>(path, arguments, folder_ + "/" + name + ".log");
+  start_order_.push_back(name);
+  programs_[name] = std::make_unique<Program>(path, arguments, directory_ + "/" + name + ".log");
   return At(name);
 }
 
 Program& Cluster::StartPlatform() {
-  return Start("platform", kBinaries + "/standin/rudderloom_standin", {"platform"});
+  return Start("platform", kBinaryDirectory + "/standin/rudderloom_standin", {"platform"});
 }
 
-Program& Cluster::StartEndpoint(const std::string& name, std::vector<std::string> more) {
+Program& Cluster::StartEndpoint(const std::string& name, std::vector<std::string> extra_arguments) {
   std::vector<std::string> arguments{"endpoint", "--name",     name,
                                      "--pool",   "p",          "--load-ms",
                                      "100",      "--platform", At("platform").Address()};
-  arguments.insert(arguments.end(), more.begin(), more.end());
-  return Start(name, kBinaries + "/standin/rudderloom_standin", arguments);
+  arguments.insert(arguments.end(), extra_arguments.begin(), extra_arguments.end());
+  return Start(name, kBinaryDirectory + "/standin/rudderloom_standin", arguments);
 }
 
 Program& Cluster::StartService(const std::string& name, const std::string& service) {
-  return Start(name, kBinaries + "/standin/rudderloom_standin",
+  return Start(name, kBinaryDirectory + "/standin/rudderloom_standin",
                {"service", "--name", name, "--pool", service, "--service", service, "--platform",
                 At("platform").Address()});
 }
@@ -187,15 +188,16 @@
   if (!settings.contains("stop_notice")) {
     settings["stop_notice"] = "200ms";
   }
-  const std::string path = folder_ + "/" + name + ".json";
+  const std::string path = directory_ + "/" + name + ".json";
   std::ofstream(path) << json::serialize(settings);
-  return Start(name, kBinaries + "/rudderloom/app/rudderloom", {"daemon", "--settings", path});
+  return Start(name, kBinaryDirectory + "/rudderloom/app/rudderloom",
+               {"daemon", "--settings", path});
 }
 
-std::pair<int, std::string> Cluster::Command(std::vector<std::string> words) {
+std::pair<int, std::string> Cluster::RunCli(std::vector<std::string> arguments) {
   bp::ipstream out;
-  bp::child child(kBinaries + "/rudderloom/app/rudderloom", bp::args(words), bp::std_out > out,
-                  bp::std_err > bp::null);
+  bp::child child(kBinaryDirectory + "/rudderloom/app/rudderloom", bp::args(arguments),
+                  bp::std_out > out, bp::std_err > bp::null);
   std::string text;
   for (std::string line; std::getline(out, line);) {
     text += line + "\n";
@@ -205,42 +207,42 @@
 }
 
 void Cluster::Apply(const std::string& node, const std::string& set, const std::string& text) {
-  const std::string directory = folder_ + "/" + set;
+  const std::string directory = directory_ + "/" + set;
   std::filesystem::create_directory(directory);
   std::ofstream(directory + "/all.json") << text;
   const auto [status, printed] =
-      Command({"apply", directory, "--daemon", At(node).Address(1), "--wait"});
+      RunCli({"apply", directory, "--daemon", At(node).Address(1), "--wait"});
   if (status != 0) {
     throw std::runtime_error("apply: " + printed);
   }
 }
 
-Answer Cluster::Call(const std::string& address,
-                     const std::string& target,
-                     const std::string& body,
-                     const HeaderList& headers,
-                     const std::string& method) {
-  const http::verb usual = body.empty() ? http::verb::get : http::verb::post;
-  HttpRequest request =
-      MakeRequest(method.empty() ? usual : http::string_to_verb(method), address, target, body);
+Response Cluster::Call(const std::string& address,
+                       const std::string& target,
+                       const std::string& body,
+                       const HeaderList& headers,
+                       const std::string& method) {
+  const http::verb default_method = body.empty() ? http::verb::get : http::verb::post;
+  HttpRequest request = MakeRequest(method.empty() ? default_method : http::string_to_verb(method),
+                                    address, target, body);
   for (const auto& [name, value] : headers) {
     request.set(name, value);
   }
-  Answer answer;
-  CallTimes times;
-  times.first_byte = Duration(30'000);
-  times.between = Duration(30'000);
+  Response response;
+  CallTimes timeouts;
+  timeouts.first_byte = Duration(30'000);
+  timeouts.between = Duration(30'000);
   bool done = false;
   asio::co_spawn(
       context_,
       [&]() -> Awaitable<void> {
-        auto result = co_await client_.Call(address, std::move(request), times, Reuse::kNever);
-        if (const auto* response = std::get_if<HttpResponse>(&result)) {
-          answer.status = response->result_int();
-          answer.body = response->body();
-          for (const auto& field : *response) {
-            answer.headers.emplace_back(std::string(field.name_string()),
-                                        std::string(field.value()));
+        auto result = co_await client_.Call(address, std::move(request), timeouts, Reuse::kNever);
+        if (const auto* received = std::get_if<HttpResponse>(&result)) {
+          response.status = received->result_int();
+          response.body = received->body();
+          for (const auto& field : *received) {
+            response.headers.emplace_back(std::string(field.name_string()),
+                                          std::string(field.value()));
           }
         }
         done = true;
@@ -250,10 +252,10 @@
   while (!done) {
     context_.run_one();
   }
-  return answer;
+  return response;
 }
 
-void Cluster::Faults(const std::string& name, const json::object& faults) {
+void Cluster::SetFaults(const std::string& name, const json::object& faults) {
   Call(At(name).Address(), "/faults", json::serialize(faults));
 }
 
@@ -261,20 +263,20 @@
   return Call(At(name).Address(), "/stats").Json();
 }
 
-bool Cluster::Until(const std::function<bool()>& condition, Duration limit) {
-  const TimePoint until = Now() + limit;
+bool Cluster::WaitUntil(const std::function<bool()>& condition, Duration timeout) {
+  const TimePoint deadline = Now() + timeout;
   while (!condition()) {
-    if (Now() >= until) {
+    if (Now() >= deadline) {
       return false;
     }
-    PausePolling();
+    SleepPollInterval();
   }
   return true;
 }
 
-bool Cluster::Served(const std::string& node, const std::string& model) {
+bool Cluster::WaitUntilServed(const std::string& node, const std::string& model) {
   const std::string body = R"({"model": ")" + model + R"(", "prompt": "p", "max_tokens": 1})";
-  return Until([&] { return Call(At(node).Address(), "/v1/completions", body).status == 200; });
+  return WaitUntil([&] { return Call(At(node).Address(), "/v1/completions", body).status == 200; });
 }
 
 }  // namespace rudderloom::tests
--- a/tests/process/cluster.hpp
+++ b/tests/process/cluster.hpp
@@ -1,4 +1,4 @@
-// Real daemons and stand-ins as processes on loopback, for tests that only processes can make.
+// Runs real daemons and stand-ins as processes on loopback, for end-to-end tests.
 #ifndef RUDDERLOOM_TESTS_PROCESS_CLUSTER_HPP
 #define RUDDERLOOM_TESTS_PROCESS_CLUSTER_HPP
 
@@ -14,30 +14,31 @@
 
 namespace rudderloom::tests {
 
-// An answer, or why there was none.
-struct Answer {
-  unsigned status = 0;  // 0: no whole answer
+/// @brief A received HTTP response.
+struct Response {
+  unsigned status = 0;  ///< 0 if no complete response arrived.
   std::string body;
   HeaderList headers;
   std::string Header(const std::string& name) const;
   boost::json::object Json() const;
 };
 
-// One running program.
+/// @brief A child process whose ready line and log are read.
 class Program {
  public:
-  // `log` gets what it writes to its standard error.
+  /// @brief Starts the program and waits for its ready line; throws if there is none. `log` is the
+  /// file for its standard error.
   Program(const std::string& path, const std::vector<std::string>& arguments, std::string log);
   ~Program();
 
-  // Address number `index` of the line that it printed when it was ready.
+  /// @brief Returns address number `index` of the ready line.
   std::string Address(std::size_t index = 0) const { return addresses_.at(index); }
   void Signal(int number);
   void Kill();
-  // Waits for its end, with a limit; gives the exit status, -1 when it goes on.
-  int Wait(Duration limit);
-  // The last lines of its log, and how it ended if it did by itself; for the report of a failure.
-  std::string LastWords();
+  /// @brief Waits for the process to end; returns its exit status, or -1 if it still runs.
+  int Wait(Duration timeout);
+  /// @brief Returns the last lines of its log, and the exit status if it ended by itself.
+  std::string LogTail();
 
  private:
   std::string log_;
@@ -46,63 +47,63 @@
   std::vector<std::string> addresses_;
 };
 
-// A platform, stand-ins and entry nodes in a folder of their own.
+/// @brief A platform, stand-ins and entry nodes in a temporary directory of their own.
 class Cluster {
  public:
   Cluster();
-  // When a check has failed, prints what the programs last said.
+  /// @brief Stops all programs. Prints their last log lines first if a required check failed.
   ~Cluster();
 
   Program& StartPlatform();
-  Program& StartEndpoint(const std::string& name, std::vector<std::string> more = {});
+  Program& StartEndpoint(const std::string& name, std::vector<std::string> extra_arguments = {});
   Program& StartService(const std::string& name, const std::string& service);
   Program& StartNode(const std::string& name, boost::json::object settings = {});
   Program& At(const std::string& name) { return *programs_.at(name); }
   void Remove(const std::string& name) { programs_.erase(name); }
 
-  // Runs an operators' command; gives its exit status and what it printed.
-  std::pair<int, std::string> Command(std::vector<std::string> words);
+  /// @brief Runs an operator command; returns its exit status and standard output.
+  std::pair<int, std::string> RunCli(std::vector<std::string> arguments);
 
-  // Applies one declaration set made of one JSON text, through the given node, and waits.
+  /// @brief Applies a declaration set of one JSON document through the given node, and waits.
   void Apply(const std::string& node, const std::string& set, const std::string& text);
 
-  // One HTTP exchange.
-  Answer Call(const std::string& address,
-              const std::string& target,
-              const std::string& body = {},
-              const HeaderList& headers = {},
-              const std::string& method = {});
+  /// @brief Sends one HTTP request and waits for the response.
+  Response Call(const std::string& address,
+                const std::string& target,
+                const std::string& body = {},
+                const HeaderList& headers = {},
+                const std::string& method = {});
 
-  // Switches faults of a stand-in.
-  void Faults(const std::string& name, const boost::json::object& faults);
+  /// @brief Configures the faults that a stand-in injects.
+  void SetFaults(const std::string& name, const boost::json::object& faults);
 
-  // A stand-in's statistics.
+  /// @brief Returns the statistics of a stand-in.
   boost::json::object Stats(const std::string& name);
 
-  // Waits for a condition; false when it does not come about in time.
-  bool Until(const std::function<bool()>& condition, Duration limit = Duration(20'000));
+  /// @brief Polls a condition; returns false if it does not hold in time.
+  bool WaitUntil(const std::function<bool()>& condition, Duration timeout = Duration(20'000));
 
-  // Waits until a model is served through a node.
-  bool Served(const std::string& node, const std::string& model);
+  /// @brief Waits until a model is served through a node; returns false on timeout.
+  bool WaitUntilServed(const std::string& node, const std::string& model);
 
  protected:
-  // Starts a program under a name.
+  /// @brief Starts a program under a name.
   Program& Start(const std::string& name,
                  const std::string& path,
                  const std::vector<std::string>& arguments);
-  const std::string& Folder() const { return folder_; }
+  const std::string& Directory() const { return directory_; }
   asio::io_context& Context() { return context_; }
   HttpClient& Client() { return client_; }
 
  private:
-  std::string folder_;
+  std::string directory_;
   std::map<std::string, std::unique_ptr<Program>> programs_;
-  std::vector<std::string> order_;
+  std::vector<std::string> start_order_;
   asio::io_context context_;
   HttpClient client_{context_};
 };
 
-// A declaration set with the models `m` and `n` in pool `p` and the service `desk`.
+/// @brief A declaration set with the models `m` and `n` in pool `p` and the service `desk`.
 extern const char* const kDeclarations;
 
 }  // namespace rudderloom::tests
--- a/tests/process/fleet_cluster.cpp
+++ b/tests/process/fleet_cluster.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr int kEvents = 8;
-constexpr const char* kStandin = "/../platform/rudderloom_platform_standin";
+constexpr int kStreamEvents = 8;
+constexpr const char* kStandinPath = "/../platform/rudderloom_platform_standin";
 
 json::object MakeRoute(const std::string& prefix,
                        const std::string& kind,
@@ -47,7 +47,7 @@
 }  // namespace
 
 FleetCluster::FleetCluster() {
-  Start("store", std::string(RUDDERLOOM_BINARIES) + kStandin, {"store"});
+  Start("store", std::string(RUDDERLOOM_BINARIES) + kStandinPath, {"store"});
 }
 
 Program& FleetCluster::StartEngine(const std::string& instance,
@@ -55,28 +55,31 @@
                                    int slots) {
   endpoints_.push_back(instance);
   return Start(
-      instance, std::string(RUDDERLOOM_BINARIES) + kStandin,
+      instance, std::string(RUDDERLOOM_BINARIES) + kStandinPath,
       {"engine", "--store", At("store").Address(), "--instance", instance, "--service", "pool",
        "--models", models, "--memory-mb", "200", "--slots", std::to_string(slots)});
 }
 
-Program& FleetCluster::StartPlain(const std::string& instance, const std::string& crash_body) {
+Program& FleetCluster::StartPlainService(const std::string& instance,
+                                         const std::string& crash_body) {
   if (std::find(endpoints_.begin(), endpoints_.end(), instance) == endpoints_.end()) {
     endpoints_.push_back(instance);
   }
-  return Start(instance, std::string(RUDDERLOOM_BINARIES) + kStandin,
+  return Start(instance, std::string(RUDDERLOOM_BINARIES) + kStandinPath,
                {"service", "--store", At("store").Address(), "--instance", instance, "--service",
                 "desk", "--crash-body", crash_body});
 }
 
 Program& FleetCluster::StartFleetNode(const std::string& name, int group_size) {
-  const std::string any = "127.0.0.1:0";
+  const std::string any_port = "127.0.0.1:0";
   const json::object settings{
       {"interface", "fleet"},
       {"node",
        json::object{{"name", name}, {"availability_zone", "zone-a"}, {"group_size", group_size}}},
-      {"listen",
-       json::object{{"callers", any}, {"readiness", any}, {"peers", any}, {"metrics", any}}},
+      {"listen", json::object{{"callers", any_port},
+                              {"readiness", any_port},
+                              {"peers", any_port},
+                              {"metrics", any_port}}},
       {"store", json::object{{"address", At("store").Address()}, {"call_time", "500ms"}}},
       {"bounds", json::object{{"lease", "600ms"}, {"grace", "5s"}, {"configuration", "4s"}}}};
   const std::string path = SettingsPath(name);
@@ -86,10 +89,10 @@
 }
 
 std::string FleetCluster::SettingsPath(const std::string& node) const {
-  return Folder() + "/" + node + ".json";
+  return Directory() + "/" + node + ".json";
 }
 
-void FleetCluster::BreakSettings(const std::string& node) {
+void FleetCluster::WriteInvalidSettings(const std::string& node) {
   std::ofstream(SettingsPath(node)) << "{\"interface\": \"fleet\", \"listen\": 7}";
 }
 
@@ -116,8 +119,8 @@
   }
 }
 
-Awaitable<void> FleetCluster::Exchange(FleetCall call, Answer& answer) {
-  co_await PauseFor(Context(), call.at);
+Awaitable<void> FleetCluster::Exchange(FleetRequest call, Response& response) {
+  co_await PauseFor(Context(), call.send_after);
   const std::string address = At(call.node).Address(0);
   HttpRequest request = MakeRequest(http::verb::post, address, call.path, call.body);
   request.set(http::field::host, "h.example");
@@ -128,38 +131,38 @@
     request.set("Token-Count", "10,40");
     request.set("Prompt-Prefix", "ab:6,cd:4");
   }
-  CallTimes times;
-  times.first_byte = Duration(10'000);
-  times.between = Duration(10'000);
-  auto result = co_await Client().Call(address, std::move(request), times, Reuse::kNever);
-  if (const auto* response = std::get_if<HttpResponse>(&result)) {
-    answer.status = response->result_int();
-    answer.body = response->body();
-    for (const auto& field : *response) {
-      answer.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
+  CallTimes timeouts;
+  timeouts.first_byte = Duration(10'000);
+  timeouts.between = Duration(10'000);
+  auto result = co_await Client().Call(address, std::move(request), timeouts, Reuse::kNever);
+  if (const auto* received = std::get_if<HttpResponse>(&result)) {
+    response.status = received->result_int();
+    response.body = received->body();
+    for (const auto& field : *received) {
+      response.headers.emplace_back(std::string(field.name_string()), std::string(field.value()));
     }
   }
 }
 
-std::map<std::string, Answer> FleetCluster::Burst(const std::vector<FleetCall>& calls) {
-  std::map<std::string, Answer> answers;
-  std::size_t left = calls.size();
-  for (const FleetCall& call : calls) {
-    asio::co_spawn(Context(), Exchange(call, answers[call.id]),
-                   [&left](const std::exception_ptr&) { --left; });
+std::map<std::string, Response> FleetCluster::SendAll(const std::vector<FleetRequest>& calls) {
+  std::map<std::string, Response> responses;
+  std::size_t pending = calls.size();
+  for (const FleetRequest& call : calls) {
+    asio::co_spawn(Context(), Exchange(call, responses[call.id]),
+                   [&pending](const std::exception_ptr&) { --pending; });
   }
   Context().restart();
-  while (left > 0) {
+  while (pending > 0) {
     Context().run_one();
   }
-  return answers;
+  return responses;
 }
 
-Answer FleetCluster::Send(const FleetCall& call) {
-  return Burst({call}).at(call.id);
+Response FleetCluster::Send(const FleetRequest& call) {
+  return SendAll({call}).at(call.id);
 }
 
-unsigned FleetCluster::Ready(const std::string& node) {
+unsigned FleetCluster::ReadyStatus(const std::string& node) {
   return Cluster::Call(At(node).Address(1), "/readyz").status;
 }
 
@@ -167,7 +170,7 @@
   return Cluster::Call(At(node).Address(3), "/metrics").body;
 }
 
-std::map<std::string, std::int64_t> FleetCluster::Runs() {
+std::map<std::string, std::int64_t> FleetCluster::RunCounts() {
   std::map<std::string, std::int64_t> runs;
   for (const std::string& endpoint : endpoints_) {
     const json::object stats = Stats(endpoint);
@@ -181,9 +184,9 @@
   return runs;
 }
 
-std::string WholeStream(const std::string& id, const std::string& model) {
+std::string ExpectedStream(const std::string& id, const std::string& model) {
   std::string stream;
-  for (int i = 1; i <= kEvents; ++i) {
+  for (int i = 1; i <= kStreamEvents; ++i) {
     const std::string number = std::to_string(i);
     stream.append("id: ").append(number).append("\ndata: ").append(id).append(" ");
     stream.append(model).append(" ").append(number).append("\n\n");
--- a/tests/process/fleet_cluster.hpp
+++ b/tests/process/fleet_cluster.hpp
@@ -1,4 +1,4 @@
-// Entry nodes and the users' platform in small, as processes on loopback.
+// Entry nodes and a stand-in of the users' platform, as processes on loopback.
 #ifndef RUDDERLOOM_TESTS_PROCESS_FLEET_CLUSTER_HPP
 #define RUDDERLOOM_TESTS_PROCESS_FLEET_CLUSTER_HPP
 
@@ -6,53 +6,53 @@
 
 namespace rudderloom::tests {
 
-// One request of a client on the platform.
-struct FleetCall {
+/// @brief One client request to an entry node.
+struct FleetRequest {
   std::string node;
   std::string path;
   std::string id;
-  std::string model;  // empty for a plain service; with an adapter after a slash
-  Duration at{0};     // when to send it, within a burst
+  std::string model;       ///< Empty for a plain service; `model/adapter` for an adapter.
+  Duration send_after{0};  ///< When to send it, from the start of SendAll().
   std::string body = "body";
 };
 
-// A store, model engines, plain services and entry nodes.
+/// @brief A store, model engines, plain services and entry nodes.
 class FleetCluster : public Cluster {
  public:
   FleetCluster();
 
   Program& StartEngine(const std::string& instance, const std::string& models, int slots = 8);
-  // A request with `crash_body` ends it; empty: none does. Under the id of one that has ended it
-  // starts a new life.
-  Program& StartPlain(const std::string& instance, const std::string& crash_body = {});
-  // `group_size`: nodes that one relay stands for.
+  /// @brief Starts a service that a request with `crash_body` crashes; if empty, none does. The id
+  /// of a service that has ended restarts it.
+  Program& StartPlainService(const std::string& instance, const std::string& crash_body = {});
+  /// @brief Starts an entry node. `group_size` is the number of nodes per relay.
   Program& StartFleetNode(const std::string& name, int group_size = 16);
 
-  // Puts a configuration of this version into the store: host h.example with the routes /stream/,
-  // /once/ and /safe/, and /added/ from version 2 on. Models m, n and o, each with two adapters.
+  /// @brief Stores a configuration of this version: host h.example with the routes /stream/,
+  /// /once/ and /safe/, and /added/ from version 2 on. Models m, n and o, each with two adapters.
   void Configure(std::uint64_t version);
 
-  // Sends all calls at their moments and waits for all answers.
-  std::map<std::string, Answer> Burst(const std::vector<FleetCall>& calls);
-  Answer Send(const FleetCall& call);
+  /// @brief Sends each request after its delay and waits for all responses, by request id.
+  std::map<std::string, Response> SendAll(const std::vector<FleetRequest>& calls);
+  Response Send(const FleetRequest& call);
 
-  // Overwrites a node's settings file with something that makes no sense.
-  void BreakSettings(const std::string& node);
+  /// @brief Overwrites the settings file of a node with invalid settings.
+  void WriteInvalidSettings(const std::string& node);
 
-  unsigned Ready(const std::string& node);
+  unsigned ReadyStatus(const std::string& node);
   std::string Metrics(const std::string& node);
-  // How often each request ran, by id, over the engines and services that live.
-  std::map<std::string, std::int64_t> Runs();
+  /// @brief Returns how often each request ran, by id, summed over the live engines and services.
+  std::map<std::string, std::int64_t> RunCounts();
 
  private:
-  Awaitable<void> Exchange(FleetCall call, Answer& answer);
+  Awaitable<void> Exchange(FleetRequest call, Response& response);
   std::string SettingsPath(const std::string& node) const;
 
   std::vector<std::string> endpoints_;
 };
 
-// The whole stream that an engine gives for a request.
-std::string WholeStream(const std::string& id, const std::string& model);
+/// @brief Returns the complete stream that an engine sends for a request.
+std::string ExpectedStream(const std::string& id, const std::string& model);
 
 }  // namespace rudderloom::tests
 
--- a/tests/process/fleet_quarantine_test.cpp
+++ b/tests/process/fleet_quarantine_test.cpp
@@ -1,11 +1,9 @@
-// A request that ends every endpoint that begins to run it, sent again and again to all nodes.
+// A request that crashes every endpoint that starts to run it, sent again and again to all nodes.
 //
-// Seen: 29 endpoints of one service ended one after the other under tries of one request, 18 of
-// them after the third had ended. Each try came under an id of its own, at another node. Every node
-// judged it as new, by its route and the repeats that were left: nothing related it to the ends
-// before. The tries that are on record ended their endpoints 45 to 112 ms after they began to run;
-// that this test ends 50 services without the mend, and that the recorded day is clean with it,
-// proved it.
+// Guards against nodes that judge each attempt by its route and remaining retries only, and don't
+// relate it to earlier crashes: each attempt has a new id and goes to another node. One such
+// request crashed 29 endpoints of a service, 18 of them after the third crash, each 45 to 112 ms
+// after it started to run; without quarantine this test crashes 50 services.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include <algorithm>  // for count_if
@@ -15,99 +13,101 @@
 namespace rudderloom::tests {
 namespace {
 
-constexpr const char* kCrash = "ends whoever runs it";
-constexpr int kServices = 8;
-// By then every node must know that three endpoints have ended under the request.
-constexpr Duration kKnownWithin{3'000};
-constexpr int kMostLater = 3;
-constexpr Duration kSentAfterThird{8'000};
-constexpr Duration kBackAfter{500};
+constexpr const char* kCrashingBody = "crashes the endpoint";
+constexpr int kServiceCount = 8;
+// Time until every node must know that the request has crashed three endpoints.
+constexpr Duration kPropagationLimit{3'000};
+constexpr int kMaxLateCrashes = 3;
+constexpr Duration kSendTimeAfterThirdCrash{8'000};
+constexpr Duration kRestartDelay{500};
 
-// Plain services that the request ends; each comes back under its id a while later.
-class Services {
+// Plain services that the request crashes; each restarts with the same id after a delay.
+class CrashingServices {
  public:
-  explicit Services(FleetCluster& cluster) : cluster_(cluster) {
-    for (int i = 0; i < kServices; ++i) {
-      cluster_.StartPlain(Name(i), kCrash);
+  explicit CrashingServices(FleetCluster& cluster) : cluster_(cluster) {
+    for (int i = 0; i < kServiceCount; ++i) {
+      cluster_.StartPlainService(Name(i), kCrashingBody);
     }
   }
 
-  // Notes which have ended, and starts those again that have been gone for long enough.
-  void Look() {
-    for (int i = 0; i < kServices; ++i) {
-      if (!gone_.contains(i) && cluster_.At(Name(i)).Wait(Duration(0)) != -1) {
-        gone_[i] = Now();
-        ends_.push_back(Now());
+  // Records services that have ended, and restarts each after the restart delay.
+  void Poll() {
+    for (int i = 0; i < kServiceCount; ++i) {
+      if (!down_since_.contains(i) && cluster_.At(Name(i)).Wait(Duration(0)) != -1) {
+        down_since_[i] = Now();
+        crash_times_.push_back(Now());
       }
-      if (gone_.contains(i) && Now() - gone_[i] >= kBackAfter) {
-        gone_.erase(i);
-        cluster_.StartPlain(Name(i), kCrash);
+      if (down_since_.contains(i) && Now() - down_since_[i] >= kRestartDelay) {
+        down_since_.erase(i);
+        cluster_.StartPlainService(Name(i), kCrashingBody);
       }
     }
   }
 
-  const std::vector<TimePoint>& Ends() const { return ends_; }
+  const std::vector<TimePoint>& CrashTimes() const { return crash_times_; }
 
  private:
   static std::string Name(int index) { return "d" + std::to_string(index); }
 
   FleetCluster& cluster_;
-  std::map<int, TimePoint> gone_;
-  std::vector<TimePoint> ends_;
+  std::map<int, TimePoint> down_since_;
+  std::vector<TimePoint> crash_times_;
 };
 
-TEST_CASE("a request that crashes endpoints is soon sent to none, by any node") {
+TEST_CASE("a request that crashes endpoints is soon quarantined on every node") {
   FleetCluster cluster;
   cluster.Configure(1);
-  Services services(cluster);
+  CrashingServices services(cluster);
   const std::vector<std::string> nodes{"a", "b", "c"};
   for (const std::string& node : nodes) {
     cluster.StartFleetNode(node);
   }
   for (const std::string& node : nodes) {
-    REQUIRE(cluster.Until([&] {
+    REQUIRE(cluster.WaitUntil([&] {
       return cluster.Send({node, "/safe/x", "warm-" + node, ""}).status == 200;
     }));
   }
-  int tries = 0;
+  int attempts = 0;
   const auto send = [&] {
-    const std::string& node = nodes[static_cast<std::size_t>(tries) % nodes.size()];
-    const std::string number = std::to_string(++tries);
-    const Answer answer = cluster.Send({node, "/safe/x", "try" + number, "", {}, kCrash});
-    // 502: it may have run. 503: no endpoint was left that it could be sent to.
-    CHECK((answer.status == 502 || answer.status == 503));
-    services.Look();
+    const std::string& node = nodes[static_cast<std::size_t>(attempts) % nodes.size()];
+    const std::string number = std::to_string(++attempts);
+    const Response response =
+        cluster.Send({node, "/safe/x", "attempt" + number, "", {}, kCrashingBody});
+    // 502: it may have run. 503: no endpoint was left to send it to.
+    CHECK((response.status == 502 || response.status == 503));
+    services.Poll();
   };
-  REQUIRE(cluster.Until([&] {
+  REQUIRE(cluster.WaitUntil([&] {
     send();
-    return services.Ends().size() >= 3;
+    return services.CrashTimes().size() >= 3;
   }));
-  const TimePoint third = services.Ends()[2];
-  cluster.Until(
+  const TimePoint third_crash = services.CrashTimes()[2];
+  cluster.WaitUntil(
       [&] {
         send();
         return false;
       },
-      kSentAfterThird);
-  const auto later = std::count_if(services.Ends().begin(), services.Ends().end(),
-                                   [&](auto end) { return end - third > kKnownWithin; });
-  CHECK(later <= kMostLater);
-  // Every node shows it to operators; one that is let go reaches an endpoint again.
+      kSendTimeAfterThirdCrash);
+  const auto late_crashes =
+      std::count_if(services.CrashTimes().begin(), services.CrashTimes().end(),
+                    [&](auto crash) { return crash - third_crash > kPropagationLimit; });
+  CHECK(late_crashes <= kMaxLateCrashes);
+  // Every node lists it for operators; after its release from quarantine it reaches endpoints.
   const std::string page = cluster.Call(cluster.At("a").Address(3), "/quarantine").body;
-  const std::size_t digits = page.find("[\"") + 2;
-  REQUIRE(digits > 2);
-  const std::string digest = page.substr(digits, page.find('"', digits) - digits);
-  const std::size_t before = services.Ends().size();
+  const std::size_t digest_start = page.find("[\"") + 2;
+  REQUIRE(digest_start > 2);
+  const std::string digest = page.substr(digest_start, page.find('"', digest_start) - digest_start);
+  const std::size_t crashes_before = services.CrashTimes().size();
   CHECK(
       cluster.Call(cluster.At("b").Address(3), "/quarantine/" + digest, {}, {}, "DELETE").status ==
       202);
-  CHECK(cluster.Until([&] {
+  CHECK(cluster.WaitUntil([&] {
     send();
-    return services.Ends().size() > before;
+    return services.CrashTimes().size() > crashes_before;
   }));
   // The same path from the same callers with any other body is served.
   for (const std::string& node : nodes) {
-    CHECK(cluster.Until([&] {
+    CHECK(cluster.WaitUntil([&] {
       return cluster.Send({node, "/safe/x", "other-" + node, ""}).status == 200;
     }));
   }
--- a/tests/process/quarantine_test.cpp
+++ b/tests/process/quarantine_test.cpp
@@ -1,7 +1,6 @@
-// A call that ends every service that begins to run it, through nodes on our own interface.
-//
-// A retry policy that judges each attempt by itself sends such a call to another endpoint up to
-// four times, for each try of its caller, at each node.
+// A call that crashes every service that starts to run it, through nodes on rudderloom's own
+// interface. Guards against a retry policy that judges each attempt by itself: it sends such a call
+// to another endpoint up to four times for each attempt of the caller, at each node.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include <algorithm>  // for count_if
@@ -11,21 +10,21 @@
 namespace rudderloom::tests {
 namespace {
 
-constexpr int kDesks = 8;
-constexpr Duration kKnownWithin{3'000};
-constexpr int kMostLater = 3;
-constexpr Duration kSentAfterThird{7'000};
-constexpr Duration kBackAfter{500};
+constexpr int kDeskCount = 8;
+constexpr Duration kPropagationLimit{3'000};
+constexpr int kMaxLateCrashes = 3;
+constexpr Duration kSendTimeAfterThirdCrash{7'000};
+constexpr Duration kRestartDelay{500};
 
-std::string Desk(int index) {
+std::string DeskName(int index) {
   return "desk" + std::to_string(index);
 }
 
-TEST_CASE("a call that ends services is soon sent to none, by any node") {
+TEST_CASE("a call that crashes services is soon quarantined on every node") {
   Cluster cluster;
   cluster.StartPlatform();
-  for (int i = 0; i < kDesks; ++i) {
-    cluster.StartService(Desk(i), "desk");
+  for (int i = 0; i < kDeskCount; ++i) {
+    cluster.StartService(DeskName(i), "desk");
   }
   cluster.StartNode("n1");
   cluster.StartNode("n2");
@@ -35,42 +34,43 @@
     return cluster.Call(cluster.At(node).Address(), "/services/desk" + path, {}, {}, "GET");
   };
   for (const std::string& node : nodes) {
-    REQUIRE(cluster.Until([&] { return call(node, "/slots").status == 200; }));
+    REQUIRE(cluster.WaitUntil([&] { return call(node, "/slots").status == 200; }));
   }
-  std::map<int, TimePoint> gone;
-  std::vector<TimePoint> ends;
-  std::size_t tries = 0;
-  Answer last;
+  std::map<int, TimePoint> down_since;
+  std::vector<TimePoint> crash_times;
+  std::size_t attempts = 0;
+  Response last;
   const auto send = [&] {
-    last = call(nodes[tries++ % nodes.size()], "/end");
-    for (int i = 0; i < kDesks; ++i) {
-      if (!gone.contains(i) && cluster.At(Desk(i)).Wait(Duration(0)) != -1) {
-        gone[i] = Now();
-        ends.push_back(Now());
+    last = call(nodes[attempts++ % nodes.size()], "/end");
+    for (int i = 0; i < kDeskCount; ++i) {
+      if (!down_since.contains(i) && cluster.At(DeskName(i)).Wait(Duration(0)) != -1) {
+        down_since[i] = Now();
+        crash_times.push_back(Now());
       }
-      if (gone.contains(i) && Now() - gone[i] >= kBackAfter) {
-        gone.erase(i);
-        cluster.StartService(Desk(i), "desk");
+      if (down_since.contains(i) && Now() - down_since[i] >= kRestartDelay) {
+        down_since.erase(i);
+        cluster.StartService(DeskName(i), "desk");
       }
     }
-    return ends.size() >= 3;
+    return crash_times.size() >= 3;
   };
-  REQUIRE(cluster.Until(send));
-  const TimePoint third = ends[2];
-  cluster.Until(
+  REQUIRE(cluster.WaitUntil(send));
+  const TimePoint third_crash = crash_times[2];
+  cluster.WaitUntil(
       [&] {
         send();
         return false;
       },
-      kSentAfterThird);
-  const auto later = std::count_if(ends.begin(), ends.end(),
-                                   [&](TimePoint end) { return end - third > kKnownWithin; });
-  CHECK(later <= kMostLater);
+      kSendTimeAfterThirdCrash);
+  const auto late_crashes =
+      std::count_if(crash_times.begin(), crash_times.end(),
+                    [&](TimePoint crash) { return crash - third_crash > kPropagationLimit; });
+  CHECK(late_crashes <= kMaxLateCrashes);
   CHECK(last.status == 502);
   CHECK(last.Json()["reason"] == "quarantined");
   CHECK(last.Json()["ran"] == "unknown");
   for (const std::string& node : nodes) {
-    CHECK(cluster.Until([&] { return call(node, "/slots").status == 200; }));
+    CHECK(cluster.WaitUntil([&] { return call(node, "/slots").status == 200; }));
   }
 }
 
--- a/tests/process/stop_test.cpp
+++ b/tests/process/stop_test.cpp
@@ -1,4 +1,4 @@
-// Nodes that are stopped while requests outlast the time that the platform gives them.
+// Nodes that are stopped while requests outlast the time that the platform allows for a stop.
 #include <doctest/doctest.h>  // for TEST_CASE
 
 #include <csignal>  // for SIGTERM, SIGSTOP
@@ -11,20 +11,20 @@
 namespace rudderloom::tests {
 namespace {
 
-// What the program ends with when it had to cut requests, and what a sanitizer ends it with.
+// Exit status of a node that had to cut requests, and sanitizer options for a different one.
 constexpr int kRequestsCut = 1;
-constexpr const char* kSanitizerStatus = "exitcode=99";
+constexpr const char* kSanitizerOptions = "exitcode=99";
 
-// Guards against suspended requests that are destroyed after what they refer to.
-TEST_CASE("a node that is stopped with requests under way cuts them and ends without a crash") {
-  ::setenv("ASAN_OPTIONS", kSanitizerStatus, 0);
+// Guards against suspended requests that are destroyed after the objects that they refer to.
+TEST_CASE("a node that is stopped with requests in flight cuts them and exits without a crash") {
+  ::setenv("ASAN_OPTIONS", kSanitizerOptions, 0);
   FleetCluster cluster;
   cluster.Configure(1);
-  cluster.StartPlain("d1");
+  cluster.StartPlainService("d1");
   cluster.StartEngine("e1", "m,n");
   cluster.StartFleetNode("a");
-  REQUIRE(cluster.Until([&] { return cluster.Ready("a") == 200; }));
-  REQUIRE(cluster.Until([&] {
+  REQUIRE(cluster.WaitUntil([&] { return cluster.ReadyStatus("a") == 200; }));
+  REQUIRE(cluster.WaitUntil([&] {
     return cluster.Send({"a", "/safe/x", "warm", ""}).status == 200 &&
            cluster.Send({"a", "/stream/x", "warm-model", "m"}).status == 200;
   }));
@@ -34,14 +34,14 @@
     std::this_thread::sleep_for(Duration(600));
     cluster.At("a").Signal(SIGTERM);
   });
-  std::vector<FleetCall> calls;
+  std::vector<FleetRequest> calls;
   for (int i = 0; i < 6; ++i) {
     const std::string number = std::to_string(i);
     const Duration at(300 + i * 40);
     calls.push_back({"a", "/once/x", "once" + number, "", at});
     calls.push_back({"a", "/stream/x", "stream" + number, "m", at});
   }
-  cluster.Burst(calls);
+  cluster.SendAll(calls);
   stop.join();
   CHECK(cluster.At("a").Wait(Duration(6'000)) == kRequestsCut);
 }
@@ -49,15 +49,17 @@
 // Starts a node, then suspends its only endpoint so that requests get no answer.
 void StartWithSuspendedEndpoint(FleetCluster& cluster) {
   cluster.Configure(1);
-  cluster.StartPlain("d1");
+  cluster.StartPlainService("d1");
   cluster.StartFleetNode("a");
-  REQUIRE(cluster.Until([&] { return cluster.Ready("a") == 200; }));
-  REQUIRE(cluster.Until([&] { return cluster.Send({"a", "/safe/x", "warm", ""}).status == 200; }));
+  REQUIRE(cluster.WaitUntil([&] { return cluster.ReadyStatus("a") == 200; }));
+  REQUIRE(cluster.WaitUntil([&] {
+    return cluster.Send({"a", "/safe/x", "warm", ""}).status == 200;
+  }));
   cluster.At("d1").Signal(SIGSTOP);
 }
 
-std::vector<FleetCall> CallsToSuspendedEndpoint() {
-  std::vector<FleetCall> calls;
+std::vector<FleetRequest> CallsToSuspendedEndpoint() {
+  std::vector<FleetRequest> calls;
   for (int i = 0; i < 6; ++i) {
     const std::string number = std::to_string(i);
     calls.push_back({"a", "/once/x", "once" + number, ""});
@@ -66,24 +68,24 @@
   return calls;
 }
 
-// Guards against a signal that ends the process during a planned stop.
+// Guards against a further signal that terminates the process during a planned stop.
 TEST_CASE("further signals during a planned stop cut no requests") {
   FleetCluster cluster;
   cluster.Configure(1);
-  cluster.StartPlain("d1");
+  cluster.StartPlainService("d1");
   cluster.StartEngine("e1", "m,n");
   cluster.StartFleetNode("a");
-  REQUIRE(cluster.Until([&] { return cluster.Ready("a") == 200; }));
-  REQUIRE(cluster.Until([&] {
+  REQUIRE(cluster.WaitUntil([&] { return cluster.ReadyStatus("a") == 200; }));
+  REQUIRE(cluster.WaitUntil([&] {
     return cluster.Send({"a", "/stream/x", "warm", "m"}).status == 200;
   }));
   cluster.At("a").Signal(SIGTERM);
-  REQUIRE(cluster.Until([&] { return cluster.Ready("a") == 503; }));
+  REQUIRE(cluster.WaitUntil([&] { return cluster.ReadyStatus("a") == 503; }));
   cluster.At("a").Signal(SIGHUP);
   cluster.At("a").Signal(SIGTERM);
   for (int i = 0; i < 5; ++i) {
     const std::string id = "s" + std::to_string(i);
-    CHECK(cluster.Send({"a", "/stream/x", id, "m"}).body == WholeStream(id, "m"));
+    CHECK(cluster.Send({"a", "/stream/x", id, "m"}).body == ExpectedStream(id, "m"));
   }
   CHECK(cluster.At("a").Wait(Duration(6'000)) == 0);
 }
@@ -93,14 +95,15 @@
   FleetCluster cluster;
   StartWithSuspendedEndpoint(cluster);
   cluster.At("a").Signal(SIGTERM);
-  REQUIRE(cluster.Until([&] { return cluster.Ready("a") == 503; }));
-  for (const auto& [id, answer] : cluster.Burst(CallsToSuspendedEndpoint())) {
-    CHECK(answer.status == 504);
+  REQUIRE(cluster.WaitUntil([&] { return cluster.ReadyStatus("a") == 503; }));
+  for (const auto& [id, response] : cluster.SendAll(CallsToSuspendedEndpoint())) {
+    CHECK(response.status == 504);
   }
   CHECK(cluster.At("a").Wait(Duration(6'000)) == 0);
 }
 
-// Guards against the same for requests that were in flight before the stop.
+// Guards against closed connections without an answer for requests that were in flight before the
+// stop.
 TEST_CASE("requests that outlast a planned stop are answered when they are cut") {
   FleetCluster cluster;
   StartWithSuspendedEndpoint(cluster);
@@ -108,42 +111,44 @@
     std::this_thread::sleep_for(Duration(500));
     cluster.At("a").Signal(SIGTERM);
   });
-  for (const auto& [id, answer] : cluster.Burst(CallsToSuspendedEndpoint())) {
-    CHECK(answer.status == 504);
+  for (const auto& [id, response] : cluster.SendAll(CallsToSuspendedEndpoint())) {
+    CHECK(response.status == 504);
   }
   stop.join();
   CHECK(cluster.At("a").Wait(Duration(6'000)) == kRequestsCut);
 }
 
-// Guards against the same on our own interface.
-TEST_CASE("a node of our own interface cuts calls that outlast its stop and ends without a crash") {
-  ::setenv("ASAN_OPTIONS", kSanitizerStatus, 0);
+// Guards against destruction after the referenced objects on rudderloom's own interface.
+TEST_CASE(
+    "a node of rudderloom's own interface cuts calls that outlast its stop and exits without a "
+    "crash") {
+  ::setenv("ASAN_OPTIONS", kSanitizerOptions, 0);
   Cluster cluster;
   cluster.StartPlatform();
   cluster.StartEndpoint("ep1");
   cluster.StartNode("n1", {{"stop_notice", "200ms"}, {"stop_time", "500ms"}});
   cluster.Apply("n1", "set", kDeclarations);
   const std::string node = cluster.At("n1").Address();
-  REQUIRE(cluster.Until([&] {
+  REQUIRE(cluster.WaitUntil([&] {
     const std::string metrics = cluster.Call(node, "/metrics").body;
     return metrics.find("serving_endpoints{model=\"m\"} 1\n") != std::string::npos;
   }));
   cluster.At("ep1").Signal(SIGSTOP);
   const std::string prompt = R"({"model": "m", "prompt": "hello", "max_tokens": 30})";
   constexpr std::size_t kCalls = 6;
-  std::vector<std::future<Answer>> answers;
-  answers.reserve(kCalls);
+  std::vector<std::future<Response>> responses;
+  responses.reserve(kCalls);
   for (std::size_t i = 0; i < kCalls; ++i) {
-    answers.push_back(std::async(std::launch::async, [&] {
-      Cluster other;
-      return other.Call(node, "/v1/completions", prompt);
+    responses.push_back(std::async(std::launch::async, [&] {
+      Cluster client;
+      return client.Call(node, "/v1/completions", prompt);
     }));
   }
   std::this_thread::sleep_for(Duration(300));
   cluster.At("n1").Signal(SIGTERM);
   CHECK(cluster.At("n1").Wait(Duration(8'000)) == kRequestsCut);
-  for (auto& answer : answers) {
-    CHECK(answer.get().status != 200);
+  for (auto& response : responses) {
+    CHECK(response.get().status != 200);
   }
 }
 
