--- a/bench/cost.cpp
+++ b/bench/cost.cpp
@@ -26,12 +26,12 @@
   set.affinity = BuildAffinity(names);
   Router router(1);
   const TimePoint now;
-  RouteAsk ask;
+  RouteQuery ask;
   for (auto iteration : state) {
     ++ask.prefix;
     const auto chosen = router.Choose(snapshot, set, ask, now);
-    router.Started(*chosen);
-    router.Ended(*chosen, RouteResult::kServed, Duration(5), now);
+    router.RequestStarted(*chosen);
+    router.RequestEnded(*chosen, RouteResult::kServed, Duration(5), now);
     benchmark::DoNotOptimize(chosen);
   }
 }
@@ -43,7 +43,7 @@
   const TimePoint now;
   Ticket ticket = 0;
   const auto make_applicant = [&] {
-    Applicant applicant;
+    QueuedRequest applicant;
     applicant.ticket = ++ticket;
     applicant.target = "model";
     applicant.caller = "caller-" + std::to_string(ticket % 50);
@@ -51,11 +51,11 @@
     return applicant;
   };
   for (int i = 0; i < state.range(0); ++i) {
-    queue.Enter(make_applicant(), 1, now);
+    queue.Enqueue(make_applicant(), 1, now);
   }
   for (auto iteration : state) {
-    queue.Enter(make_applicant(), 1, now);
-    benchmark::DoNotOptimize(queue.Next([](const Applicant&) { return true; }));
+    queue.Enqueue(make_applicant(), 1, now);
+    benchmark::DoNotOptimize(queue.Next([](const QueuedRequest&) { return true; }));
   }
 }
 BENCHMARK(BM_Admit)->Arg(10)->Arg(100)->Arg(500);
--- a/bench/simulation.cpp
+++ b/bench/simulation.cpp
@@ -242,16 +242,17 @@
     if (node.queue.Waiting(Model(request.model).name) == 0 && TryRoute(node, index)) {
       return;
     }
-    Applicant applicant;
+    QueuedRequest applicant;
     applicant.ticket = index + 1;
     applicant.target = Model(request.model).name;
     applicant.caller = "caller-" + std::to_string(request.prefix % 5);
     applicant.priority = kPriorities[request.priority_class];
     applicant.deadline = At(request.deadline - request.duration);
     const auto set = node.snapshot.models.find(applicant.target);
-    const std::uint32_t room =
-        set == node.snapshot.models.end() ? 0 : node.router.Room(node.snapshot, set->second);
-    if (const auto refused = node.queue.Enter(applicant, room, At(now_))) {
+    const std::uint32_t room = set == node.snapshot.models.end()
+                                   ? 0
+                                   : node.router.AvailableShare(node.snapshot, set->second);
+    if (const auto refused = node.queue.Enqueue(applicant, room, At(now_))) {
       --active_[request.model];
       CountRefusal(refused->reason == AdmissionRefusal::Reason::kQueueFull
                        ? "queue_full"
@@ -267,9 +268,9 @@
     if (set == node.snapshot.models.end()) {
       return false;
     }
-    RouteAsk ask;
+    RouteQuery ask;
     ask.prefix = request.prefix * 1000 + static_cast<std::uint64_t>(request.model);
-    ask.fills = request.priority_class == 2;
+    ask.is_background = request.priority_class == 2;
     for (int tries = 0; tries < 3; ++tries) {
       const auto chosen = node.router.Choose(node.snapshot, set->second, ask, At(now_));
       if (!chosen) {
@@ -281,7 +282,7 @@
         ask.excluded.push_back(static_cast<std::uint32_t>(endpoint));
         continue;
       }
-      node.router.Started(static_cast<std::uint32_t>(endpoint));
+      node.router.RequestStarted(static_cast<std::uint32_t>(endpoint));
       ++node.in_flight[static_cast<std::size_t>(endpoint)];
       StartRequest(index, endpoint);
       return true;
@@ -290,13 +291,13 @@
   }
 
   void DispatchNode(Node& node) {
-    for (const Applicant& late : node.queue.Expire(At(now_))) {
+    for (const QueuedRequest& late : node.queue.Expire(At(now_))) {
       --active_[workload_.requests[node.waiting.at(late.ticket)].model];
       node.waiting.erase(late.ticket);
       CountRefusal("deadline_passed");
     }
     std::map<std::pair<std::string, std::int64_t>, bool> full;
-    while (const auto next = node.queue.Next([&](const Applicant& applicant) {
+    while (const auto next = node.queue.Next([&](const QueuedRequest& applicant) {
       bool& is_full = full[{applicant.target, applicant.priority}];
       if (is_full) {
         return false;
@@ -445,10 +446,10 @@
         !Endpoint(endpoint).alive && now_ - workload_.event_start < request.duration;
     if (policy_ == Policy::kRudderloom) {
       Node& node = *nodes_[node_of_[index]];
-      node.router.Ended(static_cast<std::uint32_t>(endpoint), RouteResult::kServed, Duration(100),
-                        At(now_));
+      node.router.RequestEnded(static_cast<std::uint32_t>(endpoint), RouteResult::kServed,
+                               Duration(100), At(now_));
       --node.in_flight[static_cast<std::size_t>(endpoint)];
-      node.queue.Served(Model(request.model).name, Duration(request.duration));
+      node.queue.RecordServiceTime(Model(request.model).name, Duration(request.duration));
     }
     if (now_ <= request.deadline && !interrupted) {
       ++result_.attained[request.priority_class];
--- a/include/rudderloom/admission/admission_queue.hpp
+++ b/include/rudderloom/admission/admission_queue.hpp
@@ -22,7 +22,7 @@
 
 /// @brief A request to be queued for admission.
 /// @ingroup admission
-struct Applicant {
+struct QueuedRequest {
   Ticket ticket = 0;
   std::string target;         ///< Name of the requested model, adapter or service.
   std::string caller;         ///< Caller whose fair share the request is charged to.
@@ -39,7 +39,7 @@
     kDeadlinePassed,       ///< The deadline passed, before or while the request waited.
   };
   Reason reason = Reason::kQueueFull;
-  Duration come_back{1'000};  ///< Delay after which the client should retry.
+  Duration retry_delay{1'000};  ///< Delay after which the client should retry.
 };
 
 /// @brief Queue with strict priorities, and fair sharing between callers of the same priority.
@@ -50,22 +50,22 @@
 
   /// @brief Enqueues a request or refuses it. `slots` is the number of requests for its target that
   /// this node may run at once.
-  std::optional<AdmissionRefusal> Enter(const Applicant& applicant,
-                                        std::uint32_t slots,
-                                        TimePoint now);
+  std::optional<AdmissionRefusal> Enqueue(const QueuedRequest& applicant,
+                                          std::uint32_t slots,
+                                          TimePoint now);
 
   /// @brief Removes and returns the next request that can start; empty if none can.
   /// @param can_start Called for waiting requests in order; the first accepted request is returned.
-  std::optional<Applicant> Next(const std::function<bool(const Applicant&)>& can_start);
+  std::optional<QueuedRequest> Next(const std::function<bool(const QueuedRequest&)>& can_start);
 
   /// @brief Removes a waiting request; true if it was queued.
   bool Remove(Ticket ticket);
 
   /// @brief Removes and returns all requests whose deadline has passed.
-  std::vector<Applicant> Expire(TimePoint now);
+  std::vector<QueuedRequest> Expire(TimePoint now);
 
   /// @brief Records how long a request for the target occupied its slot.
-  void Served(const std::string& target, Duration service_time);
+  void RecordServiceTime(const std::string& target, Duration service_time);
 
   /// @brief Expected wait of a request that arrives now.
   Duration ExpectedWait(const std::string& target,
@@ -78,7 +78,7 @@
 
  private:
   struct CallerQueue {  // the waiting requests of one caller at one priority
-    std::deque<Applicant> waiting;
+    std::deque<QueuedRequest> waiting;
     double virtual_time = 0.0;  // grows with each started request
   };
   using CallerQueues = std::map<std::string, CallerQueue>;
--- a/include/rudderloom/attempts/retry_policy.hpp
+++ b/include/rudderloom/attempts/retry_policy.hpp
@@ -15,14 +15,15 @@
 /// @brief How one attempt on an endpoint failed.
 /// @ingroup attempts
 enum class AttemptFailure {
-  kConnect,      ///< The connection failed; nothing was sent.
-  kNotResident,  ///< The endpoint reported that it does not hold the model or adapter.
-  kBusy,         ///< The endpoint reported that it is full.
-  kLeaving,      ///< The endpoint is draining and accepts no new requests.
-  kCutEarly,   ///< The connection broke after the request was sent, before any part of the answer.
-  kCutMidway,  ///< The connection broke within the answer.
-  kTimeout,    ///< No answer in time.
-  kServerError,  ///< A 5xx status that doesn't tell whether the request ran.
+  kConnect,             ///< The connection failed; nothing was sent.
+  kNotResident,         ///< The endpoint reported that it does not hold the model or adapter.
+  kBusy,                ///< The endpoint reported that it is full.
+  kLeaving,             ///< The endpoint is draining and accepts no new requests.
+  kBrokenBeforeAnswer,  ///< The connection broke after the request was sent, before any part of the
+                        ///< answer.
+  kBrokenMidAnswer,     ///< The connection broke within the answer.
+  kTimeout,             ///< No answer in time.
+  kServerError,         ///< A 5xx status that doesn't tell whether the request ran.
 };
 
 /// @brief Returns the name of a failure for metrics and logs.
--- a/include/rudderloom/base/published.hpp
+++ b/include/rudderloom/base/copy_on_change.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// A value that one thread changes while other threads read immutable copies.
-#ifndef RUDDERLOOM_BASE_PUBLISHED_HPP
-#define RUDDERLOOM_BASE_PUBLISHED_HPP
+#ifndef RUDDERLOOM_BASE_COPY_ON_CHANGE_HPP
+#define RUDDERLOOM_BASE_COPY_ON_CHANGE_HPP
 
 #include <memory>  // for shared_ptr
 
@@ -10,7 +10,7 @@
 /// @brief Returns immutable copies, shared by all readers until the value changes.
 /// @ingroup base
 template <class Value>
-class Published {
+class CopyOnChange {
  public:
   const Value& Get() const { return value_; }
 
--- a/include/rudderloom/base/log_quota.hpp
+++ b/include/rudderloom/base/log_rate_limiter.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Limits the number of log lines of one kind per second.
-#ifndef RUDDERLOOM_BASE_LOG_QUOTA_HPP
-#define RUDDERLOOM_BASE_LOG_QUOTA_HPP
+#ifndef RUDDERLOOM_BASE_LOG_RATE_LIMITER_HPP
+#define RUDDERLOOM_BASE_LOG_RATE_LIMITER_HPP
 
 #include <cstdint>  // for uint64_t
 
@@ -11,9 +11,9 @@
 
 /// @brief Allows a number of lines per one-second window and counts the excess. Performs no I/O.
 /// @ingroup base
-class LogQuota {
+class LogRateLimiter {
  public:
-  explicit LogQuota(std::uint64_t lines_per_second) : limit_(lines_per_second) {}
+  explicit LogRateLimiter(std::uint64_t lines_per_second) : limit_(lines_per_second) {}
 
   /// @brief True when one more line may be written now.
   bool Allows(TimePoint now) {
--- a/include/rudderloom/callers/dispatcher.hpp
+++ b/include/rudderloom/callers/dispatcher.hpp
@@ -25,7 +25,7 @@
   std::string caller;
   std::int64_t priority = 5;
   TimePoint deadline;
-  RouteAsk route;
+  RouteQuery route;
 };
 
 /// @brief A reserved place on an endpoint. Return it with Dispatcher::Release.
--- a/include/rudderloom/callers/front.hpp
+++ b/include/rudderloom/callers/frontend.hpp
@@ -1,41 +1,41 @@
 /// @file
 /// The HTTP server of an entry node for callers, health checks and metrics.
-#ifndef RUDDERLOOM_CALLERS_FRONT_HPP
-#define RUDDERLOOM_CALLERS_FRONT_HPP
+#ifndef RUDDERLOOM_CALLERS_FRONTEND_HPP
+#define RUDDERLOOM_CALLERS_FRONTEND_HPP
 
 #include <functional>  // for function
 #include <memory>      // for shared_ptr
 #include <string>      // for string
 
 #include "rudderloom/callers/call_context.hpp"  // for CallContext
-#include "rudderloom/control/contact.hpp"       // for Contact
+#include "rudderloom/control/contact.hpp"       // for ContactMonitor
 #include "rudderloom/http/server.hpp"           // for HttpServer
 
 namespace rudderloom {
 
 /// @brief Callbacks of the front.
 /// @ingroup callers
-struct FrontHooks {
+struct FrontendHooks {
   std::function<void(message::Any)> post;  ///< Sends a message to the control state.
 };
 
-/// @brief Serves callers on one io_context. Only Use may be called from other threads.
+/// @brief Serves callers on one io_context. Only UpdateSnapshot may be called from other threads.
 /// @ingroup callers
-class Front {
+class Frontend {
  public:
-  Front(asio::io_context& context,
-        const Settings& settings,
-        const std::string& incarnation,
-        ObjectStore& store,
-        const Contact& contact,
-        Metrics& metrics,
-        FrontHooks hooks);
+  Frontend(asio::io_context& context,
+           const Settings& settings,
+           const std::string& incarnation,
+           ObjectStore& store,
+           const ContactMonitor& contact,
+           Metrics& metrics,
+           FrontendHooks hooks);
 
   /// @brief Starts listening and serving. Returns the bound address and port.
   std::string Start();
 
   /// @brief Replaces the snapshot. May be called from any thread.
-  void Use(SnapshotPtr snapshot);
+  void UpdateSnapshot(SnapshotPtr snapshot);
 
   /// @brief Makes the readiness check fail, so that the load balancer stops sending requests.
   /// Requests are still served.
@@ -57,9 +57,9 @@
 
   asio::io_context& context_;
   const Settings& settings_;
-  const Contact& contact_;
+  const ContactMonitor& contact_;
   Metrics& metrics_;
-  FrontHooks hooks_;
+  FrontendHooks hooks_;
   Dispatcher dispatcher_;
   HttpClient client_;
   RetryPolicy retries_;
--- a/include/rudderloom/control/contact.hpp
+++ b/include/rudderloom/control/contact.hpp
@@ -13,16 +13,16 @@
 /// The age of the last contact is computed on each call, so a process that was suspended detects
 /// this on its first call after it resumes.
 /// @ingroup control
-class Contact {
+class ContactMonitor {
  public:
   /// @brief Records that the platform or a peer has responded.
-  void Heard(TimePoint now) { last_contact_.store(now.time_since_epoch().count()); }
+  void RecordContact(TimePoint now) { last_contact_.store(now.time_since_epoch().count()); }
 
   /// @brief Sets whether other entry nodes are known, which may have a newer configuration.
   void SetPeersKnown(bool known) { peers_known_.store(known); }
 
   /// @brief Returns true if other nodes are known and the last contact is older than `limit`.
-  bool Lost(TimePoint now, Duration limit) const {
+  bool IsStale(TimePoint now, Duration limit) const {
     return peers_known_.load() && TimeSinceContact(now) > limit;
   }
 
--- a/include/rudderloom/control/control_shell.hpp
+++ b/include/rudderloom/control/control_shell.hpp
@@ -7,7 +7,7 @@
 #include <memory>      // for shared_ptr
 #include <string>      // for string
 
-#include "rudderloom/control/contact.hpp"        // for Contact
+#include "rudderloom/control/contact.hpp"        // for ContactMonitor
 #include "rudderloom/control/control_state.hpp"  // for NodeReport
 #include "rudderloom/control/messages.hpp"       // for message::Any
 #include "rudderloom/control/order_sender.hpp"   // for OrderSender
@@ -26,7 +26,7 @@
                std::string incarnation,
                std::string peers_address,
                ObjectStore& store,
-               Contact& contact,
+               ContactMonitor& contact,
                Metrics& metrics,
                std::function<void(message::Any)> post);
 
@@ -37,7 +37,7 @@
   void Execute(PoolEffects effects);
 
   /// @brief Stores the latest report. May be called from any thread.
-  void Reported(std::shared_ptr<const NodeReport> report);
+  void UpdateReport(std::shared_ptr<const NodeReport> report);
 
   /// @brief Deletes this node's object from the platform. Gives up after one second.
   Awaitable<void> Unregister();
@@ -64,7 +64,7 @@
   std::string incarnation_;
   std::string peers_address_;
   ObjectStore& store_;
-  Contact& contact_;
+  ContactMonitor& contact_;
   Metrics& metrics_;
   std::function<void(message::Any)> post_;
   HttpClient client_;
--- a/include/rudderloom/control/control_state.hpp
+++ b/include/rudderloom/control/control_state.hpp
@@ -9,11 +9,11 @@
 #include <string>   // for string
 #include <vector>   // for vector
 
-#include "rudderloom/control/messages.hpp"       // for message::Any
-#include "rudderloom/control/snapshot.hpp"       // for Snapshot
-#include "rudderloom/quarantine/crash_book.hpp"  // for CrashBook
-#include "rudderloom/quarantine/news_log.hpp"    // for NewsLog
-#include "rudderloom/settings/settings.hpp"      // for Settings
+#include "rudderloom/control/messages.hpp"           // for message::Any
+#include "rudderloom/control/snapshot.hpp"           // for Snapshot
+#include "rudderloom/quarantine/crash_book.hpp"      // for CrashBook
+#include "rudderloom/quarantine/crash_news_log.hpp"  // for CrashNewsLog
+#include "rudderloom/settings/settings.hpp"          // for Settings
 
 namespace rudderloom {
 
@@ -45,7 +45,8 @@
  public:
   ControlState(Settings settings, std::string incarnation, std::string peers_address);
 
-  /// @brief Processes one message. Only Tick and StopAsked have effects other than a new snapshot.
+  /// @brief Processes one message. Only Tick and StopRequested have effects other than a new
+  /// snapshot.
   /// @param unix_seconds Wall-clock time, compared with the start times of serving events.
   ControlEffects Handle(const message::Any& any, TimePoint now, std::int64_t unix_seconds);
 
@@ -67,7 +68,7 @@
   void On(const message::EndpointAnnouncedLeaving& said, TimePoint now);
   void On(const message::TrafficSampled& sampled, TimePoint now);
   void On(const message::Tick& tick, TimePoint now);
-  void On(const message::StopAsked& asked, TimePoint now);
+  void On(const message::StopRequested& asked, TimePoint now);
 
   PoolKeeper& FindOrCreateKeeper(const std::string& pool);
   PoolView BuildPoolView(const std::string& pool, TimePoint now, std::int64_t unix_seconds);
@@ -100,7 +101,7 @@
   std::map<std::string, ServingSet> last_models_;   // to reuse unchanged affinity tables
   TimePoint smoothed_at_;
   CrashBook crash_book_;
-  NewsLog news_log_;                 // sent with each heartbeat, including news from peers
+  CrashNewsLog news_log_;            // sent with each heartbeat, including news from peers
   std::vector<Member> targets_;      // of the current heartbeat round
   std::vector<NodeDigest> digests_;  // sent in the current round
   std::uint64_t heartbeat_count_ = 0;
--- a/include/rudderloom/control/messages.hpp
+++ b/include/rudderloom/control/messages.hpp
@@ -52,7 +52,7 @@
   std::string pool;
   PoolRecord record;
   std::optional<StoreRevision> version;
-  PoolSight sight = PoolSight::kWatched;
+  PoolReadKind sight = PoolReadKind::kWatched;
 };
 
 /// @brief Result of a failed read or of a write of a pool's object.
@@ -106,7 +106,7 @@
 
 /// @brief A graceful shutdown begins.
 /// @ingroup control
-struct StopAsked {};
+struct StopRequested {};
 
 /// @brief Any message to the control state.
 /// @ingroup control
@@ -123,7 +123,7 @@
                          EndpointAnnouncedLeaving,
                          TrafficSampled,
                          Tick,
-                         StopAsked>;
+                         StopRequested>;
 
 }  // namespace rudderloom::message
 
--- a/include/rudderloom/customers/customer.hpp
+++ b/include/rudderloom/customers/customer.hpp
@@ -30,9 +30,9 @@
 /// @ingroup customers
 struct QuotaLimit {
   QuotaUnit unit = QuotaUnit::kRequests;
-  std::uint64_t per_second = 0;    ///< 0: no limit.
-  std::uint64_t burst = 0;         ///< Additional amount at once.
-  std::uint64_t plain_tokens = 1;  ///< Counted for a request without token counts.
+  std::uint64_t per_second = 0;      ///< 0: no limit.
+  std::uint64_t burst = 0;           ///< Additional amount at once.
+  std::uint64_t default_tokens = 1;  ///< Counted for a request without token counts.
 
   bool Limited() const { return per_second > 0; }
   bool operator==(const QuotaLimit&) const = default;
--- a/include/rudderloom/dissemination/digest.hpp
+++ b/include/rudderloom/dissemination/digest.hpp
@@ -22,14 +22,14 @@
 /// during which relays have no newer digest and are as reliable as the holder. After that they have
 /// lost contact with a holder that may still be running.
 /// @ingroup dissemination
-constexpr Duration kOldestWord{3'000};
+constexpr Duration kMaxDigestAge{3'000};
 
 /// @brief The lease holder's digest of the fleet state, as sent to one node.
 /// @ingroup dissemination
 struct HolderDigest {
   /// @brief False if the answering node neither holds the lease nor has a digest of the holder to
   /// forward. Then only `crash_news` is set, and `holder` and `epoch` as last known to that node.
-  bool holds = false;
+  bool is_authoritative = false;
   std::uint64_t epoch = 0;  ///< Of the lease.
   std::string holder;       ///< Address of its holder.
   Duration age{0};          ///< Since the holder created the digest.
@@ -44,12 +44,12 @@
   std::uint64_t routes_version = 0;            ///< Of the holder's configuration; 0 for none.
   ServingChanges serving;                      ///< Changes that the asking node lacks.
   EndpointChanges endpoints;                   ///< Changes that the asking node lacks.
-  bool tells_era = true;  ///< False if sent by an earlier software version without eras.
+  bool has_era = true;  ///< False if sent by an earlier software version without eras.
   /// @brief Time since the store confirmed the list of endpoints.
   std::optional<Duration> endpoints_age;
   /// @brief The digest carries the configuration; false in a small fleet, whose nodes read the
   /// store.
-  bool tells_configuration = false;
+  bool has_configuration = false;
   ConfigurationChanges configuration;  ///< Changes that the asking node lacks.
   /// @brief Time since the store confirmed the configuration.
   std::optional<Duration> configuration_age;
@@ -72,7 +72,7 @@
 
 /// @brief Adds the transit time to the ages of a digest and its contents.
 /// @ingroup dissemination
-void MakeOlder(HolderDigest& digest, Duration transit_time);
+void AddTransitTime(HolderDigest& digest, Duration transit_time);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/dissemination/statement.hpp
+++ b/include/rudderloom/dissemination/digest_source.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// The state from which a lease holder or a relay builds its digests for other nodes.
-#ifndef RUDDERLOOM_DISSEMINATION_STATEMENT_HPP
-#define RUDDERLOOM_DISSEMINATION_STATEMENT_HPP
+#ifndef RUDDERLOOM_DISSEMINATION_DIGEST_SOURCE_HPP
+#define RUDDERLOOM_DISSEMINATION_DIGEST_SOURCE_HPP
 
 #include <map>       // for map
 #include <memory>    // for shared_ptr
@@ -18,7 +18,7 @@
 
 /// @brief Source data of the digests for all nodes. Immutable once published.
 /// @ingroup dissemination
-struct Statement {
+struct DigestSource {
   HolderDigest common;  ///< Without the parts that depend on the asking node.
   TimePoint made_at;    ///< When the holder created it.
   LoadSums loads;       ///< To compute loads without those of the asking node.
@@ -34,12 +34,12 @@
   std::optional<PermitBasis> permits;    ///< Empty: this node grants no permits.
   std::shared_ptr<const Roster> roster;  ///< Null at a relay.
   /// @brief Maximum number of nodes that are answered; others are refused. Empty: unlimited.
-  std::optional<std::uint32_t> most_members;
+  std::optional<std::uint32_t> max_members;
 };
 
 /// @brief Builds the digest for the node that sent the counts `asking`.
 /// @ingroup dissemination
-HolderDigest DigestFor(const Statement& statement, const NodeCounts& asking, TimePoint now);
+HolderDigest DigestFor(const DigestSource& statement, const NodeCounts& asking, TimePoint now);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/dissemination/group_counts.hpp
+++ b/include/rudderloom/dissemination/group_counts.hpp
@@ -18,11 +18,11 @@
 class GroupCounts {
  public:
   /// @brief Stores this node's own latest counts.
-  void CountedSelf(const NodeCounts& counts);
+  void RecordOwn(const NodeCounts& counts);
 
   /// @brief Stores the latest counts of a node that reports to this one. Relays are ignored: they
   /// report here only while they take this node for the holder.
-  void Counted(const NodeCounts& counts, TimePoint now);
+  void RecordMember(const NodeCounts& counts, TimePoint now);
 
   /// @brief Returns the group's total counts under this node's name; empty before its own first
   /// counts. The offered load is reset by each call, so it is reported once.
--- a/include/rudderloom/dissemination/roster.hpp
+++ b/include/rudderloom/dissemination/roster.hpp
@@ -57,7 +57,7 @@
 /// @brief Returns the maximum number of nodes that one relay answers: more than its group, so that
 /// it can take over members of a failed relay.
 /// @ingroup dissemination
-std::uint32_t MostMembers(std::uint32_t group_size);
+std::uint32_t MaxRelayMembers(std::uint32_t group_size);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/dissemination/source_choice.hpp
+++ b/include/rudderloom/dissemination/source_choice.hpp
@@ -12,20 +12,20 @@
 
 /// @brief How a node keeps up with one kind of stored objects.
 /// @ingroup dissemination
-enum class Following {
-  kStore,      ///< By its own watch on the store.
-  kStoreOnce,  ///< By a single list request; no further store calls until the mode changes.
-  kForOthers,  ///< By its own watch with frequent answers, since other nodes rely on them.
-  kHolder,     ///< By the holder's digests; the store is not called.
+enum class FollowMode {
+  kStore,           ///< By its own watch on the store.
+  kStoreOnce,       ///< By a single list request; no further store calls until the mode changes.
+  kStoreForOthers,  ///< By its own watch with frequent answers, since other nodes rely on them.
+  kHolder,          ///< By the holder's digests; the store is not called.
 };
 
 /// @brief Returns the name used in logs.
 /// @ingroup dissemination
-std::string_view NameOf(Following following);
+std::string_view NameOf(FollowMode following);
 
 /// @brief Role of a node in the distribution of digests.
 /// @ingroup dissemination
-enum class NodeDuty {
+enum class NodeRole {
   kNone,
   kRelay,    ///< Forwards the holder's digests.
   kStandby,  ///< Forwards them too, and answers relays that have no fresh digest.
@@ -48,14 +48,14 @@
 /// members would have to. A fleet without a holder thus calls the store only as often as its few
 /// standbys do, regardless of its size.
 /// @ingroup dissemination
-class SourceChoice {
+class SourceSelector {
  public:
   /// @param max_age Maximum age of the digest contents before a node calls the store itself.
   /// @param start On a restart the node begins with its own list request, otherwise it waits for a
   /// digest.
   /// @param spread From 0 to 1, different on each node, so that they don't all stop waiting at
   /// once.
-  SourceChoice(Duration max_age, StartKind start, double spread);
+  SourceSelector(Duration max_age, StartKind start, double spread);
 
   /// @brief Records that the store has just confirmed this node's data.
   void Confirmed(TimePoint now) { confirmed_at_ = now; }
@@ -65,14 +65,14 @@
   std::optional<TimePoint> ConfirmedAt() const;
 
   /// @brief Records a received digest; `age` is the time since the store confirmed its contents.
-  void Heard(Duration age, TimePoint now);
+  void RecordDigest(Duration age, TimePoint now);
 
   /// @brief Records that digests don't carry this data in a fleet of this size: only the store
   /// does.
-  void NotTold();
+  void NotInDigest();
 
   /// @brief Returns the mode to use from now on.
-  Following Choose(NodeDuty duty, TimePoint now);
+  FollowMode Choose(NodeRole duty, TimePoint now);
 
  private:
   bool DigestIsFresh(Duration max_age, TimePoint now) const;
--- a/include/rudderloom/dissemination/upstream.hpp
+++ b/include/rudderloom/dissemination/upstream.hpp
@@ -25,15 +25,15 @@
   explicit Upstream(std::string self) : self_(std::move(self)) {}
 
   /// @brief Records the holder named in the lease object of the store.
-  void HolderSeen(const std::string& address, std::uint64_t epoch);
+  void ObserveHolder(const std::string& address, std::uint64_t epoch);
 
   /// @brief Handles the answer of the node at `from` to a report. Returns true if the digest is
   /// valid: sent by the holder itself or by this node's relay. A standby that is a relay for others
   /// has no newer digest.
-  bool Answered(const std::string& from, const HolderDigest& digest, TimePoint now);
+  bool HandleAnswer(const std::string& from, const HolderDigest& digest, TimePoint now);
 
   /// @brief Handles a report that the node at `from` did not answer.
-  void Failed(const std::string& from, TimePoint now);
+  void HandleFailure(const std::string& from, TimePoint now);
 
   /// @brief Returns the address to report to; empty if none is known or this node is the holder.
   std::string Address() const;
--- a/include/rudderloom/endpoint_limits/limit_exchange.hpp
+++ b/include/rudderloom/endpoint_limits/limit_exchange.hpp
@@ -25,7 +25,7 @@
 
 /// @brief Converts limits to their ages at `now`.
 /// @ingroup endpoint_limits
-SentLimits WithAges(const EndpointLimits& limits, TimePoint now);
+SentLimits ToSentLimits(const EndpointLimits& limits, TimePoint now);
 
 /// @brief All limits known to the lease holder.
 /// @ingroup endpoint_limits
--- a/include/rudderloom/endpoint_limits/limit_watch.hpp
+++ b/include/rudderloom/endpoint_limits/limit_watch.hpp
@@ -9,7 +9,7 @@
 
 /// @brief Usability of an endpoint under its limit.
 /// @ingroup endpoint_limits
-enum class LimitStanding {
+enum class LimitState {
   kUnlimited,
   kLimited,     ///< Each request needs a permit; other endpoints are preferred.
   kUnobserved,  ///< Limited, but without recent answers: try a request.
@@ -41,7 +41,7 @@
   /// has no limit.
   std::optional<double> LimitOf(EndpointKey endpoint) const;
 
-  LimitStanding StandingOf(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now) const;
+  LimitState LimitStateOf(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now) const;
 
   /// @brief Records that a permit was refused, with the next one available after `wait`, or that no
   /// node could be asked. This node then pauses long enough to keep the asks of all nodes within a
@@ -53,13 +53,13 @@
   ///
   /// Over all nodes together this admits one request per 4 s, regardless of their number: enough to
   /// notice the end of the limit.
-  bool MaySendUnasked(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now);
+  bool MaySendWithoutPermit(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now);
 
   /// @brief Records that a granting node has answered again.
-  void Asked(EndpointKey endpoint) { next_unpermitted_at_.erase(endpoint); }
+  void GranterAnswered(EndpointKey endpoint) { next_unpermitted_at_.erase(endpoint); }
 
   /// @brief Returns the time until the next permit for any of the refused endpoints.
-  Duration LeastWait(TimePoint now) const;
+  Duration MinWait(TimePoint now) const;
 
   /// @brief Returns this node's observations since the last call.
   EndpointLimits Take();
--- a/include/rudderloom/endpoint_limits/permit_book.hpp
+++ b/include/rudderloom/endpoint_limits/permit_book.hpp
@@ -12,10 +12,10 @@
 
 /// @brief A node's inquiry whether it may send one request to an endpoint.
 /// @ingroup endpoint_limits
-struct PermitAsk {
+struct PermitRequest {
   EndpointKey endpoint = 0;
   double requests_per_second = 0.0;  ///< Fleet-wide, as announced by the endpoint.
-  Duration most_wait{0};             ///< Maximum time that the request can wait.
+  Duration max_wait{0};              ///< Maximum time that the request can wait.
 };
 
 /// @brief Decision of the node that was asked.
@@ -30,7 +30,7 @@
 /// @ingroup endpoint_limits
 std::string_view NameOf(PermitVerdict verdict);
 
-/// @brief Answer to a `PermitAsk`.
+/// @brief Answer to a `PermitRequest`.
 /// @ingroup endpoint_limits
 struct PermitAnswer {
   PermitVerdict verdict = PermitVerdict::kNotGranting;
@@ -40,27 +40,27 @@
 
 /// @brief Maximum time that a request waits for its permit.
 /// @ingroup endpoint_limits
-constexpr Duration kMostPermitWait{500};
+constexpr Duration kMaxPermitWait{500};
 
 /// @brief Whether a node grants permits, and at which rate.
 /// @ingroup endpoint_limits
 struct PermitBasis {
-  /// @brief `kMostPermitWait` after the node became responsible: by then all requests permitted by
+  /// @brief `kMaxPermitWait` after the node became responsible: by then all requests permitted by
   /// its predecessor have been sent.
   TimePoint valid_from;
   TimePoint valid_until;  ///< No request may be sent later.
-  double part = 1.0;      ///< Granted fraction of each limit.
+  double fraction = 1.0;  ///< Granted fraction of each limit.
 };
 
 /// @brief The fraction of a limit that the deputy grants while the lease holder is unreachable. The
 /// holder may still grant permits to nodes that reach it: together they grant at most 1.5 times the
 /// limit.
 /// @ingroup endpoint_limits
-constexpr double kDeputyPart = 0.5;
+constexpr double kDeputyFraction = 0.5;
 
 /// @brief A node whose last message from the holder is older asks the holder's deputy.
 /// @ingroup endpoint_limits
-constexpr Duration kHolderGrantsFor{1'000};
+constexpr Duration kMaxHolderMessageAge{1'000};
 
 /// @brief Spaces the requests of all nodes evenly according to each endpoint's limit. Does no I/O;
 /// time is passed in.
@@ -70,7 +70,7 @@
 /// @ingroup endpoint_limits
 class PermitBook {
  public:
-  PermitAnswer Ask(const PermitAsk& ask, const PermitBasis& basis, TimePoint now);
+  PermitAnswer Ask(const PermitRequest& ask, const PermitBasis& basis, TimePoint now);
 
  private:
   void Trim(TimePoint now);
--- a/include/rudderloom/fleet/endpoint_directory.hpp
+++ b/include/rudderloom/fleet/endpoint_directory.hpp
@@ -16,7 +16,7 @@
 /// @ingroup fleet
 struct KnownEndpoint {
   EndpointRecord record;
-  std::optional<TimePoint> gone_at;  ///< When the platform stopped listing it.
+  std::optional<TimePoint> unlisted_since;  ///< When the platform stopped listing it.
   /// @brief While a restored store lacks its entry: how long the endpoint may take to write it
   /// again.
   std::optional<TimePoint> rewrite_awaited_until;
--- a/include/rudderloom/fleet/endpoint_record.hpp
+++ b/include/rudderloom/fleet/endpoint_record.hpp
@@ -41,12 +41,12 @@
 /// start time, as an endpoint that restarts under the same name has lost all earlier state.
 /// @param born Start time by the endpoint's own clock, in milliseconds; 0 when unknown.
 /// @ingroup fleet
-std::string LifeName(const std::string& id, std::uint64_t born);
+std::string InstanceName(const std::string& id, std::uint64_t born);
 
 /// @brief One instance of an endpoint, as the platform lists it.
 /// @ingroup fleet
 struct EndpointRecord {
-  std::string instance;  ///< Its `LifeName`, which changes with each start of the process.
+  std::string instance;  ///< Its `InstanceName`, which changes with each start of the process.
   std::string id;        ///< The name under which it is listed and addressed.
   std::uint64_t born = 0;
   std::string service;
@@ -56,7 +56,7 @@
   bool leaving = false;
   std::uint64_t orders_taken = 0;  ///< Number of orders accepted since the process started.
   std::vector<ResidentModel> models;
-  bool tells_models =
+  bool includes_models =
       true;  ///< False: `orders_taken` and `models` are not set; they are sent separately.
   bool operator==(const EndpointRecord&) const = default;
 };
--- a/include/rudderloom/fleet/fleet_settings.hpp
+++ b/include/rudderloom/fleet/fleet_settings.hpp
@@ -61,7 +61,7 @@
 
 /// @brief Returns true when a settings file selects this interface.
 /// @ingroup fleet
-bool AsksForFleet(std::string_view text);
+bool IsFleetSettings(std::string_view text);
 
 /// @brief Parses and validates settings; returns all errors, each with its JSON path.
 /// @ingroup fleet
--- a/include/rudderloom/fleet/fleet_state.hpp
+++ b/include/rudderloom/fleet/fleet_state.hpp
@@ -8,12 +8,12 @@
 #include <string>    // for string
 #include <vector>    // for vector
 
-#include "rudderloom/base/published.hpp"                   // for Published
+#include "rudderloom/base/copy_on_change.hpp"              // for CopyOnChange
 #include "rudderloom/dissemination/configuration_log.hpp"  // for ConfigurationLog
 #include "rudderloom/dissemination/group_counts.hpp"       // for GroupCounts
 #include "rudderloom/dissemination/roster.hpp"             // for Roster
-#include "rudderloom/dissemination/source_choice.hpp"      // for SourceChoice
-#include "rudderloom/dissemination/statement.hpp"          // for Statement
+#include "rudderloom/dissemination/source_choice.hpp"      // for SourceSelector
+#include "rudderloom/dissemination/digest_source.hpp"      // for DigestSource
 #include "rudderloom/dissemination/upstream.hpp"           // for Upstream
 #include "rudderloom/endpoint_limits/limit_exchange.hpp"   // for LimitExchange
 #include "rudderloom/fleet/control_lag.hpp"                // for ControlLag
@@ -23,7 +23,7 @@
 #include "rudderloom/fleet/messages.hpp"                   // for fleet_message::Any
 #include "rudderloom/placement/placement_keeper.hpp"       // for PlacementKeeper
 #include "rudderloom/quarantine/crash_book.hpp"            // for CrashBook
-#include "rudderloom/quarantine/news_log.hpp"              // for NewsLog
+#include "rudderloom/quarantine/crash_news_log.hpp"        // for CrashNewsLog
 #include "rudderloom/quota/quota_ledger.hpp"               // for QuotaLedger
 #include "rudderloom/quota/spending_log.hpp"               // for SpendingLog
 
@@ -53,15 +53,15 @@
 /// @brief How this node follows the objects in the store.
 /// @ingroup fleet
 struct Followings {
-  Following endpoints = Following::kStoreOnce;
-  Following configuration = Following::kStoreOnce;
+  FollowMode endpoints = FollowMode::kStoreOnce;
+  FollowMode configuration = FollowMode::kStoreOnce;
   bool operator==(const Followings&) const = default;
 };
 
 /// @brief Returns how a process follows the store after its start, until the control state changes
 /// it.
 /// @ingroup fleet
-Followings FollowingsAtStart(const FleetSettings& settings);
+Followings InitialFollowings(const FleetSettings& settings);
 
 /// @brief Actions that the control state requests from the rest of the process.
 /// @ingroup fleet
@@ -71,8 +71,8 @@
   std::optional<LeaseWrite> lease_write;
   PlacementEffects placement;
   std::optional<CountsToReport> report;
-  std::shared_ptr<const Statement> statement;  ///< Null when unchanged.
-  std::optional<Followings> followings;        ///< Empty when unchanged.
+  std::shared_ptr<const DigestSource> statement;  ///< Null when unchanged.
+  std::optional<Followings> followings;           ///< Empty when unchanged.
   /// @brief The store's era when it has advanced: calls that wait for a change in an older era
   /// might never return.
   std::optional<std::uint64_t> store_era;
@@ -99,17 +99,17 @@
   void On(const fleet_message::EndpointsListed& listed, TimePoint now);
   void On(const fleet_message::EndpointsChanged& changed, TimePoint now);
   void On(const fleet_message::LeaseSeen& seen, TimePoint now);
-  void On(const fleet_message::LeaseUnread& unread, TimePoint now);
+  void On(const fleet_message::LeaseReadFailed& unread, TimePoint now);
   void On(const fleet_message::LeaseWritten& written, TimePoint now);
   void On(const fleet_message::NodeSampled& sampled, TimePoint now);
-  void On(const fleet_message::PeerCounted& counted, TimePoint now);
-  void On(const fleet_message::DigestHeard& received, TimePoint now);
+  void On(const fleet_message::PeerCountsReceived& counted, TimePoint now);
+  void On(const fleet_message::DigestReceived& received, TimePoint now);
   void On(const fleet_message::ReportFailed& failed, TimePoint now);
   void On(const fleet_message::RequestGranted& granted, TimePoint now);
   void On(const fleet_message::RoutesConfirmed& confirmed, TimePoint now);
   void On(const fleet_message::EngineReported& reported, TimePoint now);
   void On(const fleet_message::OrderEnded& ended, TimePoint now);
-  void On(const fleet_message::StopAsked& asked, TimePoint now);
+  void On(const fleet_message::StopRequested& asked, TimePoint now);
   void On(const fleet_message::Tick& tick, TimePoint now);
 
   void UpdateLease(FleetEffects& effects, TimePoint now);
@@ -154,7 +154,7 @@
   void ApplyLists(const HolderDigest& digest, TimePoint now);
   void ApplyHolderEndpoints(const HolderDigest& digest, TimePoint now);
   void ApplyDigest(const HolderDigest& digest, TimePoint now);
-  NodeDuty Duty(TimePoint now) const;
+  NodeRole Duty(TimePoint now) const;
   bool ActsAsRelay(TimePoint now) const;
   bool ChooseRelays(TimePoint now);
   void UpdateFollowings(FleetEffects& effects, TimePoint now);
@@ -179,9 +179,9 @@
   FleetViewPtr MakeView(TimePoint now) const;
   LoadTable OtherLoads(TimePoint now) const;
   LoadForecastPtr CurrentForecast(TimePoint now) const;
-  std::shared_ptr<const Statement> MakeStatement(TimePoint now);
-  std::shared_ptr<const Statement> MakeRelayStatement(TimePoint now);
-  void AddKnownObjects(Statement& statement);
+  std::shared_ptr<const DigestSource> MakeStatement(TimePoint now);
+  std::shared_ptr<const DigestSource> MakeRelayStatement(TimePoint now);
+  void AddKnownObjects(DigestSource& statement);
   std::uint64_t ServingVersion() const;
   bool DigestFresh(TimePoint now) const;
   bool SuspectsHolder(TimePoint now) const;
@@ -189,13 +189,13 @@
 
   FleetSettings settings_;
   std::string incarnation_;
-  Published<ConfigurationLog> routes_;
+  CopyOnChange<ConfigurationLog> routes_;
   EndpointDirectory directory_;
-  Published<EndpointLog> endpoint_log_;
-  Published<ServingLog> serving_log_;  // Made by the holder itself, otherwise received.
-  std::uint64_t serving_epoch_ = 0;    // Epoch under which this node last wrote the log.
-  SourceChoice endpoint_source_;
-  SourceChoice configuration_source_;
+  CopyOnChange<EndpointLog> endpoint_log_;
+  CopyOnChange<ServingLog> serving_log_;  // Made by the holder itself, otherwise received.
+  std::uint64_t serving_epoch_ = 0;       // Epoch under which this node last wrote the log.
+  SourceSelector endpoint_source_;
+  SourceSelector configuration_source_;
   Followings followings_;
   Upstream upstream_;
   GroupCounts group_;
@@ -203,18 +203,18 @@
   ControlLag lag_;
   LeaseKeeper lease_;
   PlacementKeeper placement_;
-  DemandBoard board_;
+  DemandTracker board_;
   LoadSums sums_;          // Totals of the board at the last plan.
   LoadForecast forecast_;  // Computed with the last plan.
   SpendingLog spending_;
   QuotaLedger ledger_;
   std::uint64_t grants_counted_ = 0;      // Number of the last grant booked or reported.
-  QuotaWordPtr quota_snapshot_;           // The newest made or received.
+  QuotaSnapshotPtr quota_snapshot_;       // The newest made or received.
   std::uint64_t grants_in_balances_ = 0;  // Last grant included in the newest balances.
   std::string quota_relay_;               // As of the last digest; empty: none.
   std::uint32_t quota_group_ = 0;         // Nodes in this relay's group, as of then.
   CrashBook crash_book_;                  // Authoritative while this node holds the lease.
-  NewsLog news_log_;                      // From this node and those that report to it.
+  CrashNewsLog news_log_;                 // From this node and those that report to it.
   CrashNews published_news_;              // As last published to nodes that report here.
   std::uint64_t quarantine_version_ = 0;  // Version of the holder's list in the book.
   std::uint64_t quarantine_changes_ = 0;  // Changes since this node took the lease.
--- a/include/rudderloom/fleet/fleet_view.hpp
+++ b/include/rudderloom/fleet/fleet_view.hpp
@@ -15,7 +15,7 @@
 #include "rudderloom/fleet/endpoint_record.hpp"           // for EndpointRecord
 #include "rudderloom/placement/load_forecast.hpp"         // for LoadForecastPtr
 #include "rudderloom/quarantine/crash_news.hpp"           // for QuarantineListPtr
-#include "rudderloom/quota/spending.hpp"                  // for QuotaWordPtr
+#include "rudderloom/quota/spending.hpp"                  // for QuotaSnapshotPtr
 #include "rudderloom/routes/route_table.hpp"              // for RouteTablePtr
 
 namespace rudderloom {
@@ -50,8 +50,8 @@
 /// @ingroup fleet
 struct FleetEndpoint {
   EndpointRecord record;
-  bool last_resort = false;  ///< No longer listed: used only when there is no other endpoint.
-  EndpointLoad others;       ///< Load from the other entry nodes, as last received.
+  bool last_resort = false;       ///< No longer listed: used only when there is no other endpoint.
+  EndpointLoad other_nodes_load;  ///< Load from the other entry nodes, as last received.
 };
 
 /// @brief A consistent view; a request keeps its view for as long as needed.
@@ -63,7 +63,7 @@
       by_service;                ///< Indices into `endpoints`.
   std::uint32_t live_nodes = 1;  ///< Entry nodes that share limits, including this one.
   bool endpoints_known = false;  ///< The platform's list has been read.
-  QuotaWordPtr quota;            ///< Customer balances; null before the first are received.
+  QuotaSnapshotPtr quota;        ///< Customer balances; null before the first are received.
   std::string quota_holder;      ///< Address of the holder, which grants more; empty: unknown.
   std::string
       quota_relay;  ///< Address of the relay that grants while there is no holder; empty: none.
--- a/include/rudderloom/fleet/messages.hpp
+++ b/include/rudderloom/fleet/messages.hpp
@@ -47,7 +47,7 @@
 
 /// @brief The lease object could not be read.
 /// @ingroup fleet
-struct LeaseUnread {};
+struct LeaseReadFailed {};
 
 /// @brief A write of the lease has ended; without a version it failed or its outcome is unknown.
 /// @ingroup fleet
@@ -63,13 +63,13 @@
 
 /// @brief The counts that another node reported to this one.
 /// @ingroup fleet
-struct PeerCounted {
+struct PeerCountsReceived {
   NodeCounts counts;
 };
 
 /// @brief The answer to this node's report of its counts.
 /// @ingroup fleet
-struct DigestHeard {
+struct DigestReceived {
   HolderDigest digest;
   std::string from;                 ///< Address of the node that answered.
   std::uint64_t report_number = 0;  ///< Number of the report.
@@ -108,7 +108,7 @@
 
 /// @brief A planned shutdown begins.
 /// @ingroup fleet
-struct StopAsked {};
+struct StopRequested {};
 
 /// @brief A timer tick.
 /// @ingroup fleet
@@ -122,17 +122,17 @@
                          EndpointsListed,
                          EndpointsChanged,
                          LeaseSeen,
-                         LeaseUnread,
+                         LeaseReadFailed,
                          LeaseWritten,
                          NodeSampled,
-                         PeerCounted,
-                         DigestHeard,
+                         PeerCountsReceived,
+                         DigestReceived,
                          ReportFailed,
                          RequestGranted,
                          RoutesConfirmed,
                          EngineReported,
                          OrderEnded,
-                         StopAsked,
+                         StopRequested,
                          Tick>;
 
 }  // namespace rudderloom::fleet_message
--- a/include/rudderloom/forwarding/balancer.hpp
+++ b/include/rudderloom/forwarding/balancer.hpp
@@ -14,7 +14,7 @@
 #include "rudderloom/endpoint_limits/limit_watch.hpp"  // for LimitWatch
 #include "rudderloom/fleet/fleet_view.hpp"             // for FleetView
 #include "rudderloom/forwarding/admission.hpp"         // for StartForecast
-#include "rudderloom/forwarding/dialect.hpp"           // for RequestTerms
+#include "rudderloom/forwarding/header_codec.hpp"      // for RequestMetadata
 #include "rudderloom/forwarding/service_times.hpp"     // for ServiceTimes
 
 namespace rudderloom {
@@ -23,7 +23,7 @@
 /// @ingroup forwarding
 struct BalancerQuery {
   const std::string& service;
-  const RequestTerms& terms;
+  const RequestMetadata& terms;
   const std::set<std::string>& excluded;  ///< Instances that failed this request.
   const LimitWatch* limits = nullptr;     ///< Null when no endpoint has a rate limit.
   bool skip_limited = false;              ///< Excludes endpoints with a rate limit.
@@ -79,10 +79,10 @@
                                                         TimePoint now);
 
   /// @brief Records that a request was sent to an endpoint.
-  void Started(const std::string& instance,
-               const RequestTerms& terms,
-               const EndpointLoad& added_load,
-               TimePoint now);
+  void RequestStarted(const std::string& instance,
+                      const RequestMetadata& terms,
+                      const EndpointLoad& added_load,
+                      TimePoint now);
 
   /// @brief Records the first event of the answer: the prompt has been read and the request holds a
   /// slot.
@@ -96,7 +96,7 @@
 
   /// @brief Records that the endpoint denied holding the requested model or adapter. Lists of
   /// resident models may be a second old, above all while no lease holder is known.
-  void MarkNotResident(const std::string& instance, const RequestTerms& terms, TimePoint now);
+  void MarkNotResident(const std::string& instance, const RequestMetadata& terms, TimePoint now);
 
   /// @brief Returns the load of this node's requests by endpoint.
   LoadTable Loads() const;
@@ -150,7 +150,7 @@
   void EstimateArrivals(std::vector<Candidate>& candidates, const RequestCosts& costs) const;
   const Candidate& Pick(const std::vector<Candidate>& candidates, const RequestCosts& costs);
   StartForecast Forecast(const Candidate& candidate, const BalancerQuery& query) const;
-  std::uint64_t UnreadTokens(const Endpoint& endpoint, const RequestTerms& terms) const;
+  std::uint64_t UnreadTokens(const Endpoint& endpoint, const RequestMetadata& terms) const;
 
   std::string availability_zone_;
   std::mt19937_64 random_;
@@ -160,7 +160,7 @@
 
 /// @brief Hashes the first `count` parts of a prompt, with the model and adapter.
 /// @ingroup forwarding
-std::uint64_t PromptPrefixHash(const RequestTerms& terms, std::size_t count);
+std::uint64_t PromptPrefixHash(const RequestMetadata& terms, std::size_t count);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/forwarding/endpoint_connection.hpp
+++ b/include/rudderloom/forwarding/endpoint_connection.hpp
@@ -13,8 +13,8 @@
 #include <variant>   // for variant
 #include <vector>    // for vector
 
-#include "rudderloom/forwarding/dialect.hpp"  // for AnswerHead
-#include "rudderloom/http/asio.hpp"           // for tcp
+#include "rudderloom/forwarding/header_codec.hpp"  // for AnswerHead
+#include "rudderloom/http/asio.hpp"                // for tcp
 
 namespace rudderloom {
 
--- a/include/rudderloom/forwarding/forwarder.hpp
+++ b/include/rudderloom/forwarding/forwarder.hpp
@@ -9,14 +9,14 @@
 #include <optional>    // for optional
 #include <string>      // for string
 
-#include "rudderloom/base/log_quota.hpp"                  // for LogQuota
+#include "rudderloom/base/log_rate_limiter.hpp"           // for LogRateLimiter
 #include "rudderloom/endpoint_limits/limit_watch.hpp"     // for LimitWatch
-#include "rudderloom/endpoint_limits/permit_book.hpp"     // for PermitAsk
+#include "rudderloom/endpoint_limits/permit_book.hpp"     // for PermitRequest
 #include "rudderloom/forwarding/balancer.hpp"             // for Balancer
 #include "rudderloom/forwarding/call_guard.hpp"           // for CallGuards
 #include "rudderloom/forwarding/endpoint_connection.hpp"  // for ConnectionPool
 #include "rudderloom/forwarding/missing_units.hpp"        // for MissingUnits
-#include "rudderloom/forwarding/retry_allowance.hpp"      // for RetryAllowance
+#include "rudderloom/forwarding/retry_budget.hpp"         // for RetryBudget
 #include "rudderloom/forwarding/view_source.hpp"          // for ViewSource
 #include "rudderloom/http/server.hpp"                     // for HttpExchange
 #include "rudderloom/placement/demand.hpp"                // for UnitCount
@@ -33,26 +33,28 @@
 /// @brief Asks the lease holder at the given address whether a request is within its customer's
 /// quota. The callback may run on any thread; it receives an empty value if no answer came.
 /// @ingroup forwarding
-using AskHolder = std::function<void(const std::string& holder,
-                                     const SpendAsk& ask,
-                                     std::function<void(std::optional<SpendAnswer>)> done)>;
+using QuotaRequestFunction =
+    std::function<void(const std::string& holder,
+                       const SpendRequest& ask,
+                       std::function<void(std::optional<SpendAnswer>)> done)>;
 
 /// @brief Asks the lease holder or its deputy at the given address for a permit to send a request
 /// to an endpoint. The callback may run on any thread; it receives an empty value if no answer
 /// came.
 /// @ingroup forwarding
-using AskForPermit = std::function<void(const std::string& granter,
-                                        const PermitAsk& ask,
-                                        std::function<void(std::optional<PermitAnswer>)> done)>;
+using PermitRequestFunction =
+    std::function<void(const std::string& granter,
+                       const PermitRequest& ask,
+                       std::function<void(std::optional<PermitAnswer>)> done)>;
 
 /// @brief State shared by all requests of this node. Owned by the traffic thread.
 /// @ingroup forwarding
 struct ForwardingState {
   asio::io_context& context;
-  const Dialect& dialect;
+  const HeaderCodec& dialect;
   Metrics& metrics;
   Balancer balancer;
-  RetryAllowance retries;
+  RetryBudget retries;
   QuotaAccount quota;
   CrashWatch crashes;
   LimitWatch limits;
@@ -60,7 +62,7 @@
   ConnectionPool pool;
   UnitCounts units;
   MissingUnits missing;
-  LogQuota log_quota;
+  LogRateLimiter log_quota;
   std::mt19937_64 random;
   bool stopping = false;  ///< Planned stop: requests waiting for an endpoint are refused.
   /// @brief Until this time, requests wait for the first configuration.
@@ -68,8 +70,8 @@
   /// @brief Requests an early sample for the control state: after a request for a model or adapter
   /// that no endpoint holds, or when an endpoint has ended.
   std::function<void()> sample_soon;
-  AskHolder ask_holder;
-  AskForPermit ask_for_permit;
+  QuotaRequestFunction ask_holder;
+  PermitRequestFunction ask_for_permit;
   /// @brief Upper bound on the deadline of requests that arrive during a planned stop.
   TimePoint stop_deadline = TimePoint::max();
   CallGuards guards = {};  ///< Guards of the requests in flight.
--- a/include/rudderloom/forwarding/front.hpp
+++ b/include/rudderloom/forwarding/frontend.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// HTTP listeners of the traffic thread: client requests, readiness and metrics.
-#ifndef RUDDERLOOM_FORWARDING_FRONT_HPP
-#define RUDDERLOOM_FORWARDING_FRONT_HPP
+#ifndef RUDDERLOOM_FORWARDING_FRONTEND_HPP
+#define RUDDERLOOM_FORWARDING_FRONTEND_HPP
 
 #include <memory>  // for shared_ptr
 
@@ -12,22 +12,22 @@
 
 /// @brief Serves clients from the latest view. All methods run on the traffic thread.
 /// @ingroup forwarding
-class FleetFront {
+class FleetFrontend {
  public:
-  FleetFront(asio::io_context& context,
-             const FleetSettings& settings,
-             const Dialect& dialect,
-             Metrics& metrics,
-             std::function<void(NodeCounts)> on_sample,
-             AskHolder ask_holder,
-             AskForPermit ask_for_permit);
+  FleetFrontend(asio::io_context& context,
+                const FleetSettings& settings,
+                const HeaderCodec& dialect,
+                Metrics& metrics,
+                std::function<void(NodeCounts)> on_sample,
+                QuotaRequestFunction ask_holder,
+                PermitRequestFunction ask_for_permit);
 
   /// @brief Starts listening and returns the bound addresses. Reports not ready until a
   /// configuration and the endpoints are known.
   FleetListeners Start();
 
   /// @brief Installs a new view.
-  void Use(FleetViewPtr view);
+  void SetView(FleetViewPtr view);
 
   /// @brief Reports not ready and asks clients to reconnect elsewhere after their current answer.
   /// @param stop_deadline Upper bound on the deadline of requests that arrive from now on.
--- a/include/rudderloom/forwarding/dialect.hpp
+++ b/include/rudderloom/forwarding/header_codec.hpp
@@ -1,8 +1,8 @@
 /// @file
 /// Data that forwarding reads from client requests and endpoint answers, independent of the header
 /// names on the wire.
-#ifndef RUDDERLOOM_FORWARDING_DIALECT_HPP
-#define RUDDERLOOM_FORWARDING_DIALECT_HPP
+#ifndef RUDDERLOOM_FORWARDING_HEADER_CODEC_HPP
+#define RUDDERLOOM_FORWARDING_HEADER_CODEC_HPP
 
 #include <cstdint>   // for uint64_t
 #include <optional>  // for optional
@@ -26,15 +26,15 @@
 
 /// @brief Metadata of a client's request.
 /// @ingroup forwarding
-struct RequestTerms {
+struct RequestMetadata {
   std::string id;                    ///< Identifies this attempt of the client.
   std::optional<Duration> deadline;  ///< How long the client waits for the answer.
   std::string model;                 ///< Empty for a plain service.
   std::string adapter;               ///< Adapter of the model; empty for none.
   std::uint64_t tokens_in = 0;
   std::uint64_t tokens_out = 0;   ///< Upper bound, or the client's estimate if it gives one.
-  bool names_tokens = false;      ///< True when the request declares its token counts.
-  std::uint64_t most_tokens = 0;  ///< Declared bound on prompt plus answer tokens.
+  bool declares_tokens = false;   ///< True when the request declares its token counts.
+  std::uint64_t token_limit = 0;  ///< Declared bound on prompt plus answer tokens.
   std::vector<PromptPart> prompt;
   std::optional<KeyDigest> key;  ///< Digest of the API key; empty for none or several.
 };
@@ -42,13 +42,14 @@
 /// @brief Caller identity that is passed to an endpoint.
 /// @ingroup forwarding
 struct CallerMetadata {
-  bool checked = false;  ///< Customers are authenticated; the caller's claims are dropped.
+  bool identity_verified =
+      false;             ///< Customers are authenticated; the caller's claims are dropped.
   std::string customer;  ///< Empty when no customer is passed on.
 };
 
 /// @brief Metadata that this node adds to a request for an endpoint.
 /// @ingroup forwarding
-struct SendTerms {
+struct ForwardMetadata {
   std::string endpoint;  ///< Name of the intended endpoint; any other endpoint refuses the request.
   Duration time_left{0};
   std::optional<std::uint32_t> urgency;        ///< 0 is the most urgent.
@@ -59,7 +60,7 @@
 
 /// @brief Metadata of an endpoint's answer.
 /// @ingroup forwarding
-struct AnswerTerms {
+struct AnswerMetadata {
   std::string request_id;  ///< Empty when the answer has none.
   bool is_signed = false;  ///< The answer carries the endpoint's signature.
   bool not_run = false;  ///< The endpoint guarantees that the request has not run and will not run.
@@ -76,13 +77,13 @@
 /// @brief Translates between HTTP headers of one wire format and the types above. Makes no
 /// decisions.
 /// @ingroup forwarding
-class Dialect {
+class HeaderCodec {
  public:
-  virtual ~Dialect() = default;
+  virtual ~HeaderCodec() = default;
 
-  virtual RequestTerms ReadRequest(const HttpRequest& request) const = 0;
-  virtual AnswerTerms ReadAnswer(const AnswerHead& head, const std::string& endpoint) const = 0;
-  virtual void Write(const SendTerms& terms, HttpRequest& request) const = 0;
+  virtual RequestMetadata ReadRequest(const HttpRequest& request) const = 0;
+  virtual AnswerMetadata ReadAnswer(const AnswerHead& head, const std::string& endpoint) const = 0;
+  virtual void Write(const ForwardMetadata& terms, HttpRequest& request) const = 0;
 
   /// @brief Returns the headers of a refusal: the request id and when to retry.
   virtual HeaderList RefusalHeaders(const std::string& request_id,
--- a/include/rudderloom/forwarding/retry_allowance.hpp
+++ b/include/rudderloom/forwarding/retry_budget.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Retry budget: bounds the share of retries over all nodes together.
-#ifndef RUDDERLOOM_FORWARDING_RETRY_ALLOWANCE_HPP
-#define RUDDERLOOM_FORWARDING_RETRY_ALLOWANCE_HPP
+#ifndef RUDDERLOOM_FORWARDING_RETRY_BUDGET_HPP
+#define RUDDERLOOM_FORWARDING_RETRY_BUDGET_HPP
 
 #include <cstdint>  // for uint32_t
 #include <deque>    // for deque
@@ -26,9 +26,9 @@
 /// The additional retries are divided among the nodes, with a margin for nodes that this one does
 /// not know yet.
 /// @ingroup forwarding
-class RetryAllowance {
+class RetryBudget {
  public:
-  explicit RetryAllowance(RetryBounds bounds) : bounds_(bounds) {}
+  explicit RetryBudget(RetryBounds bounds) : bounds_(bounds) {}
 
   /// @brief Counts a client request for the service.
   void CountRequest(const std::string& service, TimePoint now);
--- a/include/rudderloom/forwarding/service_times.hpp
+++ b/include/rudderloom/forwarding/service_times.hpp
@@ -21,10 +21,10 @@
   /// @brief Records a complete answer.
   /// @param tokens_out Answer tokens as estimated or bounded by the client.
   /// @param hold_time Time from the first event to the end of the answer.
-  void Served(const std::string& service,
-              const std::string& model,
-              std::uint64_t tokens_out,
-              Duration hold_time);
+  void RecordAnswer(const std::string& service,
+                    const std::string& model,
+                    std::uint64_t tokens_out,
+                    Duration hold_time);
 
   /// @brief Records the first event from an endpoint that had free slots and no other prompt to
   /// process.
--- a/include/rudderloom/forwarding/view_source.hpp
+++ b/include/rudderloom/forwarding/view_source.hpp
@@ -17,7 +17,7 @@
   const FleetViewPtr& Current() const { return current_; }
 
   /// @brief Replaces the view and wakes all waiters.
-  void Use(FleetViewPtr view) {
+  void SetView(FleetViewPtr view) {
     current_ = std::move(view);
     WakeAll();
   }
--- a/include/rudderloom/http/client.hpp
+++ b/include/rudderloom/http/client.hpp
@@ -18,15 +18,15 @@
 /// @brief A call that did not receive a complete response.
 /// @ingroup http
 struct HttpFailure {
-  bool may_have_left = false;  ///< False only when no byte of the request was written.
+  bool may_have_been_sent = false;  ///< False only when no byte of the request was written.
   bool timed_out = false;
-  bool on_reused = false;  ///< The connection had been used by an earlier call.
+  bool on_reused_connection = false;  ///< The connection had been used by an earlier call.
   std::string message;
 };
 
 /// @brief Timeouts for the steps of a call.
 /// @ingroup http
-struct CallTimes {
+struct CallTimeouts {
   Duration connect{1'000};
   Duration first_byte{10'000};  ///< From sending the request to the response header.
   Duration between{10'000};     ///< Between two chunks of the body.
@@ -36,7 +36,7 @@
 /// The peer may already have closed a reused connection, and then it is unknown whether it read
 /// the request. Calls that must not be repeated therefore open a new connection.
 /// @ingroup http
-enum class Reuse { kAllowed, kNever };
+enum class ConnectionReuse { kAllowed, kNever };
 
 /// @brief A response whose header has been read and whose body is read incrementally.
 /// @ingroup http
@@ -44,7 +44,7 @@
  public:
   struct End {};
 
-  HttpStream(tcp::socket socket, CallTimes times);
+  HttpStream(tcp::socket socket, CallTimeouts times);
 
   /// @brief Sends the request and reads the response header.
   Awaitable<std::variant<End, HttpFailure>> Start(const HttpRequest& request);
@@ -67,7 +67,7 @@
   HttpFailure FailureAfterSend(boost::system::error_code error, bool timed_out) const;
 
   tcp::socket socket_;
-  CallTimes timeouts_;
+  CallTimeouts timeouts_;
   beast::flat_buffer buffer_;
   http::response_parser<http::buffer_body> parser_;
 };
@@ -75,7 +75,7 @@
 /// @brief Makes the kernel drop a connection once its peer has been silent for `limit`, even while
 /// no data is being sent: a peer that lost power or its network link never closes the connection.
 /// @ingroup http
-void GuardAgainstSilence(tcp::socket& socket, Duration limit);
+void EnableDeadPeerDetection(tcp::socket& socket, Duration limit);
 
 /// @brief Parses an address such as `127.0.0.1:8080`.
 /// @throws std::invalid_argument when it is not an IP address and a port.
@@ -91,14 +91,14 @@
   /// @brief Sends a request and returns the response once its header has been read.
   Awaitable<std::variant<std::unique_ptr<HttpStream>, HttpFailure>> Open(std::string address,
                                                                          HttpRequest request,
-                                                                         CallTimes times,
-                                                                         Reuse reuse);
+                                                                         CallTimeouts times,
+                                                                         ConnectionReuse reuse);
 
   /// @brief Sends a request and reads the complete response.
   Awaitable<std::variant<HttpResponse, HttpFailure>> Call(std::string address,
                                                           HttpRequest request,
-                                                          CallTimes times,
-                                                          Reuse reuse);
+                                                          CallTimeouts times,
+                                                          ConnectionReuse reuse);
 
   /// @brief Returns a stream's connection to the pool if it can be reused.
   void Release(const std::string& address, std::unique_ptr<HttpStream> stream);
--- a/include/rudderloom/http/listening.hpp
+++ b/include/rudderloom/http/connection_probe.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Checks whether a process listens on an address.
-#ifndef RUDDERLOOM_HTTP_LISTENING_HPP
-#define RUDDERLOOM_HTTP_LISTENING_HPP
+#ifndef RUDDERLOOM_HTTP_CONNECTION_PROBE_HPP
+#define RUDDERLOOM_HTTP_CONNECTION_PROBE_HPP
 
 #include <string>  // for string
 
@@ -14,7 +14,7 @@
 /// when a connection is accepted, and when the host does not answer within `limit`, because it may
 /// be powered off or unreachable.
 /// @ingroup http
-Awaitable<bool> NobodyListens(asio::io_context& context, std::string address, Duration limit);
+Awaitable<bool> IsConnectionRefused(asio::io_context& context, std::string address, Duration limit);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/membership/endpoint_table.hpp
+++ b/include/rudderloom/membership/endpoint_table.hpp
@@ -51,8 +51,9 @@
   LoadReport report;
   std::optional<TimePoint> reported_at;
   std::uint32_t failed_polls = 0;  ///< Consecutive failures.
-  bool leaving_said = false;  ///< Announced by the endpoint in a report or an answer, or by a peer.
-  std::uint32_t id = 0;       ///< Small index, stable while the endpoint is known.
+  bool leaving_announced =
+      false;             ///< Announced by the endpoint in a report or an answer, or by a peer.
+  std::uint32_t id = 0;  ///< Small index, stable while the endpoint is known.
 };
 
 /// @brief Decodes an endpoint object of the platform; returns nullopt when it is invalid.
@@ -69,19 +70,19 @@
 class EndpointTable {
  public:
   /// @brief Applies the platform's complete list.
-  void Listed(const std::vector<EndpointSpec>& specs);
+  void ApplyList(const std::vector<EndpointSpec>& specs);
   void Put(const EndpointSpec& spec);
-  void Gone(const std::string& name);
+  void Remove(const std::string& name);
 
   /// @brief Applies a load report, which proves that the endpoint is alive.
-  void Reported(const std::string& name, const LoadReport& report, TimePoint now);
+  void ApplyReport(const std::string& name, const LoadReport& report, TimePoint now);
 
   /// @brief Records an unanswered poll.
   void PollFailed(const std::string& name);
 
   /// @brief Marks an instance as leaving, given as `name#incarnation` by an answer or a peer.
   /// @return True when this was not known yet.
-  bool SaidLeaving(const std::string& name_and_incarnation);
+  bool MarkLeaving(const std::string& name_and_incarnation);
 
   /// @brief Returns all known leaving instances as `name#incarnation`, for peers.
   std::vector<std::string> Leaving() const;
--- a/include/rudderloom/membership/member_table.hpp
+++ b/include/rudderloom/membership/member_table.hpp
@@ -63,13 +63,13 @@
 
   /// @brief Applies the platform's list of nodes; a node that left the list is kept while its
   /// heartbeats arrive.
-  void Listed(const std::vector<NodeState>& nodes);
+  void ApplyList(const std::vector<NodeState>& nodes);
 
   /// @brief Applies a heartbeat received from the node itself.
-  void Heard(const NodeState& state, TimePoint now);
+  void RecordHeartbeat(const NodeState& state, TimePoint now);
 
   /// @brief Applies a relayed heartbeat counter; only a higher counter has an effect.
-  void HeardOf(const NodeDigest& digest, TimePoint now);
+  void RecordRelayedHeartbeat(const NodeDigest& digest, TimePoint now);
 
   /// @brief Removes nodes that are neither listed nor alive.
   void Expire(TimePoint now);
--- a/include/rudderloom/operators/configuration_change.hpp
+++ b/include/rudderloom/operators/configuration_change.hpp
@@ -58,7 +58,7 @@
 /// @brief The change is invalid.
 /// @ingroup operators
 struct ChangeInvalid {
-  JsonErrors mistakes;
+  JsonErrors validation_errors;
 };
 
 /// @brief The platform is unavailable; nothing was changed.
@@ -84,8 +84,8 @@
 
 /// @brief Returns the configuration after a change, or its validation errors.
 /// @ingroup operators
-std::variant<Configuration, JsonErrors> Changed(const Configuration& before,
-                                                const ChangeRequest& request);
+std::variant<Configuration, JsonErrors> ApplyChange(const Configuration& before,
+                                                    const ChangeRequest& request);
 
 /// @brief Applies changes by conditional updates of the object on the platform.
 /// @ingroup operators
--- a/include/rudderloom/peers/holder_link.hpp
+++ b/include/rudderloom/peers/holder_link.hpp
@@ -10,9 +10,9 @@
 #include <string>      // for string
 
 #include "rudderloom/dissemination/digest.hpp"         // for HolderDigest
-#include "rudderloom/endpoint_limits/permit_book.hpp"  // for PermitAsk
+#include "rudderloom/endpoint_limits/permit_book.hpp"  // for PermitRequest
 #include "rudderloom/placement/demand.hpp"             // for NodeCounts
-#include "rudderloom/quota/grant_book.hpp"             // for SpendAsk
+#include "rudderloom/quota/grant_book.hpp"             // for SpendRequest
 
 namespace rudderloom {
 
@@ -26,9 +26,9 @@
   /// @brief Called when the node at `from` has responded to the report with this number.
   std::function<void(HolderDigest, const std::string& from, std::uint64_t number)> on_digest;
   /// @brief Decides for another node whether a request is within the quota. Must not block.
-  std::function<SpendAnswer(const SpendAsk&)> on_spend;
+  std::function<SpendAnswer(const SpendRequest&)> on_spend;
   /// @brief Decides for another node whether it may send a request to an endpoint. Must not block.
-  std::function<PermitAnswer(const PermitAsk&)> on_permit;
+  std::function<PermitAnswer(const PermitRequest&)> on_permit;
   /// @brief Called when the report to the node at `to` failed.
   std::function<void(const std::string& to, std::uint64_t number)> on_failure;
 };
@@ -65,10 +65,10 @@
 
   /// @brief Asks the node at this address whether a request is within the quota. `done` is called
   /// once, unless the link is stopped before. May be called from any thread.
-  void Ask(const std::string& holder, const SpendAsk& ask, SpendCallback done);
+  void Ask(const std::string& holder, const SpendRequest& ask, SpendCallback done);
 
   /// @brief Asks the holder or its deputy for a permit. See the overload above.
-  void Ask(const std::string& granter, const PermitAsk& ask, PermitCallback done);
+  void Ask(const std::string& granter, const PermitRequest& ask, PermitCallback done);
 
   /// @brief Stops the event loop. No hook is called afterwards, and pending callbacks are
   /// destroyed.
--- a/include/rudderloom/peers/node_server.hpp
+++ b/include/rudderloom/peers/node_server.hpp
@@ -8,7 +8,7 @@
 #include <memory>      // for shared_ptr
 #include <string>      // for string
 
-#include "rudderloom/control/contact.hpp"                 // for Contact
+#include "rudderloom/control/contact.hpp"                 // for ContactMonitor
 #include "rudderloom/control/control_state.hpp"           // for NodeReport
 #include "rudderloom/control/messages.hpp"                // for message::Any
 #include "rudderloom/operators/configuration_change.hpp"  // for ChangeRequest
@@ -32,7 +32,7 @@
   /// @throws kj::Exception if the address can't be bound.
   NodeServer(const ListenerSettings& listener,
              MembershipSettings membership,
-             Contact& contact,
+             ContactMonitor& contact,
              Metrics& metrics);
   NodeServer(const NodeServer&) = delete;
   NodeServer& operator=(const NodeServer&) = delete;
@@ -48,7 +48,7 @@
   void Stop();
 
   /// @brief Stores the latest report. May be called from any thread.
-  void Reported(std::shared_ptr<const NodeReport> report);
+  void UpdateReport(std::shared_ptr<const NodeReport> report);
 
  private:
   struct Impl;
--- a/include/rudderloom/placement/demand.hpp
+++ b/include/rudderloom/placement/demand.hpp
@@ -41,11 +41,12 @@
   std::uint64_t routes_version = 0;  ///< Version of the node's active configuration; 0 for none.
   StoreRevision endpoints_seen;      ///< Revision of the endpoint list known to the node.
   /// @brief False for a node of an earlier version, which has no eras.
-  bool tells_era = true;
+  bool has_era = true;
   double processor_share = 1.0;  ///< Fraction of one core available to the node.
   std::string address;           ///< Address on which the node listens for peers.
   std::string availability_zone;
-  std::uint32_t stands_for = 1;  ///< Number of nodes covered by these counts, including itself.
+  std::uint32_t represented_nodes =
+      1;  ///< Number of nodes covered by these counts, including itself.
   std::vector<std::string> avoided_relays;  ///< Relays that recently gave no usable answer.
   std::uint64_t report_number = 0;  ///< Increases with each report of a process; see `SpendingLog`.
   SpendingTable spending;           ///< Spending since the last report.
@@ -58,11 +59,11 @@
 /// @brief Merges the offered load, spending, crashes and limits from a node's earlier, unreported
 /// counts into its newer counts, which are reported instead.
 /// @ingroup placement
-void AddUntold(const NodeCounts& earlier, NodeCounts& newer);
+void MergeUnreported(const NodeCounts& earlier, NodeCounts& newer);
 
 /// @brief Returns true while counts received at `heard_at` are considered current.
 /// @ingroup placement
-bool CountsFresh(TimePoint heard_at, TimePoint now);
+bool AreCountsCurrent(TimePoint heard_at, TimePoint now);
 
 /// @brief A node that reports to this one, for itself or on behalf of a group.
 /// @ingroup placement
@@ -70,8 +71,8 @@
   std::string name;
   std::string address;
   std::string availability_zone;
-  double processor_share = 1.0;  ///< Fraction of one core available to the node.
-  std::uint32_t stands_for = 1;  ///< Number of nodes it reports for, including itself.
+  double processor_share = 1.0;         ///< Fraction of one core available to the node.
+  std::uint32_t represented_nodes = 1;  ///< Number of nodes it reports for, including itself.
 };
 
 /// @brief Demand for one unit.
@@ -81,9 +82,9 @@
   /// smoothed to rise quickly and fall slowly, and of the offered load, extrapolated over the time
   /// that a load takes.
   double pressure = 0.0;
-  std::uint32_t waiting = 0;  ///< As last counted.
-  std::uint32_t running = 0;  ///< As last counted.
-  TimePoint asked_at;         ///< Time of the last request for it.
+  std::uint32_t waiting = 0;    ///< As last counted.
+  std::uint32_t running = 0;    ///< As last counted.
+  TimePoint last_requested_at;  ///< Time of the last request for it.
 };
 
 /// @brief Loads in total and by node, computed once for many readers.
@@ -101,23 +102,23 @@
 
 /// @brief Aggregates the nodes' counts. Pure; time is passed in.
 /// @ingroup placement
-class DemandBoard {
+class DemandTracker {
  public:
   /// @brief Applies a node's newest counts.
-  void Counted(const NodeCounts& counts, TimePoint now);
+  void RecordCounts(const NodeCounts& counts, TimePoint now);
 
   /// @brief Updates the smoothed demand. Call frequently.
   void Tick(TimePoint now);
 
   /// @brief Returns the demand for a unit; zero if it was never requested.
-  UnitDemand Of(const UnitName& unit) const;
+  UnitDemand DemandFor(const UnitName& unit) const;
   const std::map<UnitName, UnitDemand>& Units() const { return units_; }
 
   /// @brief Returns the requests by endpoint, in total and by node, from current counts.
   LoadSums Sums(TimePoint now) const;
 
   /// @brief Returns the nodes with current counts, except the named one.
-  std::vector<ReportingNode> Reporting(const std::string& excluded_node, TimePoint now) const;
+  std::vector<ReportingNode> ReportingNodes(const std::string& excluded_node, TimePoint now) const;
 
   /// @brief Time of the first request; empty before it.
   std::optional<TimePoint> FirstRequestAt() const { return first_request_at_; }
--- a/include/rudderloom/placement/lease_keeper.hpp
+++ b/include/rudderloom/placement/lease_keeper.hpp
@@ -30,14 +30,14 @@
 /// @brief Information about the previous lease that a new holder needs.
 /// @ingroup placement
 struct FormerLease {
-  FormerHolder who = FormerHolder::kNone;
+  FormerHolder former_holder = FormerHolder::kNone;
   OrderScopes own;        ///< Announced by an earlier process on this machine.
   OrderScopes inherited;  ///< Announced by other machines; no orders are sent to these endpoints
-                          ///< until `rest` has passed.
+                          ///< until `blocked_for` has passed.
   bool inherited_all = false;     ///< The same for all endpoints, if the announcements are lost.
   LowBalances low_balances = {};  ///< At the time of its last write.
   std::set<RequestDigest> quarantined = {};  ///< At the time of its last write.
-  Duration rest{0};
+  Duration blocked_for{0};
 };
 
 /// @brief What a process knows about the lease when it starts.
@@ -76,7 +76,7 @@
 /// - a holder whose lease is still valid reacquires it at once, with a token of the new era, and
 ///   sends orders only to endpoints that it had announced itself;
 /// - every other node waits until any lease that may exist has expired, and then sends no orders to
-///   any endpoint until `FormerLease::rest` has passed.
+///   any endpoint until `FormerLease::blocked_for` has passed.
 /// The upper bits of a token are the era, so no token is issued twice even if the last one was
 /// lost.
 /// @ingroup placement
@@ -96,29 +96,29 @@
   /// @param version Revision of the object; without a record, only the store's era.
   /// @param fresh False if the data read may be seconds old.
   /// @return False if the record is older than one this process knows; it is then ignored.
-  bool Seen(const std::optional<LeaseRecord>& record,
-            const StoreRevision& version,
-            bool fresh,
-            TimePoint now);
+  bool ApplyRead(const std::optional<LeaseRecord>& record,
+                 const StoreRevision& version,
+                 bool fresh,
+                 TimePoint now);
 
   /// @brief Notes that the object could not be read, so how long its revision has been unchanged is
   /// no longer known.
-  void Unread(TimePoint now);
+  void OnReadFailed(TimePoint now);
 
   /// @brief Sets the endpoints that the record must list; additions are written at once.
   void Announce(OrderScopes own, OrderScopes inherited, bool inherited_all = false);
 
   /// @brief Sets the customer balances to include in the next write; does not trigger a write.
-  void NoteBalances(LowBalances low) { low_balances_ = std::move(low); }
+  void SetLowBalances(LowBalances low) { low_balances_ = std::move(low); }
 
   /// @brief Sets the quarantined requests that the record must list; additions are written at once.
-  void NoteQuarantined(std::set<RequestDigest> quarantined) {
+  void SetQuarantined(std::set<RequestDigest> quarantined) {
     quarantined_ = std::move(quarantined);
   }
 
   /// @brief Sets an additional delay before taking the lease, on top of the yield time that follows
   /// from the node's processor share.
-  void YieldFor(Duration extra) { extra_yield_ = extra; }
+  void SetExtraYield(Duration extra) { extra_yield_ = extra; }
 
   /// @brief Returns the endpoints to which this holder may send orders.
   OrderScopes Announced() const;
@@ -127,7 +127,7 @@
   std::optional<LeaseWrite> NextWrite(TimePoint now);
 
   /// @brief Notes that the write succeeded and produced this revision.
-  void Written(const StoreRevision& version, TimePoint now);
+  void OnWriteSucceeded(const StoreRevision& version, TimePoint now);
 
   /// @brief Notes that the write failed or its result is unknown; the object must be read again.
   void WriteFailed();
@@ -149,7 +149,7 @@
 
   /// @brief True if this process holds the lease but has failed to renew it on schedule. It may be
   /// cut off from the platform, and other nodes should check the lease.
-  bool RenewalsFail(TimePoint now) const;
+  bool IsRenewalOverdue(TimePoint now) const;
   TimePoint ValidUntil() const { return valid_until_; }
   std::uint64_t Epoch() const { return record_.epoch; }
 
--- a/include/rudderloom/placement/placement_keeper.hpp
+++ b/include/rudderloom/placement/placement_keeper.hpp
@@ -17,7 +17,7 @@
 #include <vector>    // for vector
 
 #include "rudderloom/fleet/endpoint_directory.hpp"       // for KnownEndpoint
-#include "rudderloom/placement/demand.hpp"               // for DemandBoard
+#include "rudderloom/placement/demand.hpp"               // for DemandTracker
 #include "rudderloom/placement/serving.hpp"              // for ServingList
 #include "rudderloom/placement/engine_state.hpp"         // for EngineState
 #include "rudderloom/placement/lease_keeper.hpp"         // for FormerLease
@@ -66,13 +66,13 @@
   void Reset(const FormerLease& former, TimePoint now);
 
   /// @brief Continues to hold the lease under a new token. Engine state remains valid.
-  void GoOn(const FormerLease& former, TimePoint now);
+  void ContinueLease(const FormerLease& former, TimePoint now);
 
   /// @brief Endpoints that the lease record must list.
   const OrderAnnouncements& Announcements() const { return announcements_; }
 
   /// @brief Applies an engine's report; empty if the engine did not answer.
-  void Reported(const std::string& instance,
+  void OnReport(const std::string& instance,
                 const std::optional<EngineReport>& report,
                 TimePoint now);
 
@@ -80,15 +80,15 @@
   void OrderEnded(const PlacementOrder& order, PlacementOutcome outcome, TimePoint now);
 
   /// @brief True while an order's outcome is unknown, so that it may still reach its endpoint.
-  bool OrdersUnderWay() const { return orders_in_flight_ > 0; }
+  bool HasOrdersInFlight() const { return orders_in_flight_ > 0; }
 
   /// @brief Sets the request limits announced by endpoints; null for none.
-  void NoteLimits(EndpointLimitsPtr limits) { limits_ = std::move(limits); }
+  void SetEndpointLimits(EndpointLimitsPtr limits) { limits_ = std::move(limits); }
 
   /// @brief Advances the state machine. Call frequently while the lease is held.
   PlacementEffects Tick(const RouteTable& routes,
                         const std::map<std::string, KnownEndpoint>& endpoints,
-                        const DemandBoard& demand,
+                        const DemandTracker& demand,
                         const LoadTable& loads,
                         const HeldLease& lease,
                         TimePoint now);
@@ -110,14 +110,14 @@
                     TimePoint now);
   void Plan(const ServiceSpec& service,
             const std::vector<std::string>& instances,
-            const DemandBoard& demand,
+            const DemandTracker& demand,
             const LoadTable& loads,
             const HeldLease& lease,
             PlacementEffects& effects,
             TimePoint now);
   void AddForecast(const std::string& service,
                    const std::vector<std::string>& instances,
-                   const DemandBoard& demand,
+                   const DemandTracker& demand,
                    LoadForecast& forecast,
                    TimePoint now);
   std::optional<double> LimitOf(const std::string& instance) const;
--- a/include/rudderloom/placement/planner.hpp
+++ b/include/rudderloom/placement/planner.hpp
@@ -10,7 +10,7 @@
 #include <string>    // for string
 #include <vector>    // for vector
 
-#include "rudderloom/placement/demand.hpp"    // for DemandBoard
+#include "rudderloom/placement/demand.hpp"    // for DemandTracker
 #include "rudderloom/routes/route_table.hpp"  // for EngineSpec
 
 namespace rudderloom {
@@ -61,7 +61,7 @@
   const std::string& service;
   const EngineSpec& spec;
   std::vector<PlanEngine> engines;
-  const DemandBoard& demand;
+  const DemandTracker& demand;
   TimePoint now;
 };
 
--- a/include/rudderloom/quarantine/crash_book.hpp
+++ b/include/rudderloom/quarantine/crash_book.hpp
@@ -43,7 +43,7 @@
   bool Expire(TimePoint now);
 
   /// @brief Returns the entries for other nodes: at most `kMaxPublished`, the latest first.
-  std::vector<SuspectEntry> Told(TimePoint now) const;
+  std::vector<SuspectEntry> PublishedEntries(TimePoint now) const;
 
   /// @brief Returns the same entries for the traffic thread.
   QuarantineList List() const;
@@ -58,10 +58,10 @@
     std::set<EndpointKey> endpoints;
     TimePoint last_crash_at;
     bool quarantined = false;
-    bool held_before = false;
+    bool quarantined_before = false;
     std::size_t unexplained = 0;  // crashes not explained by another quarantined request
 
-    std::size_t Threshold() const { return held_before ? 1 : kCrashesToQuarantine; }
+    std::size_t Threshold() const { return quarantined_before ? 1 : kCrashesToQuarantine; }
     // One more crash could quarantine it. Only the holder has suspects with fewer crashes.
     bool NearThreshold() const { return !quarantined && unexplained + 1 >= Threshold(); }
   };
--- a/include/rudderloom/quarantine/crash_news.hpp
+++ b/include/rudderloom/quarantine/crash_news.hpp
@@ -39,14 +39,14 @@
 
 /// @brief Adds earlier reports to newer ones, up to the maximum size of one message.
 /// @ingroup quarantine
-void AddNews(const CrashNews& earlier, CrashNews& newer);
+void MergeNews(const CrashNews& earlier, CrashNews& newer);
 
 /// @brief The lease holder's record of one suspect request.
 /// @ingroup quarantine
 struct SuspectEntry {
   RequestDigest request;
   std::set<EndpointKey> endpoints;  ///< Endpoints that crashed while running it.
-  bool held_before = false;         ///< Quarantined now, or until another request explained it.
+  bool quarantined_before = false;  ///< Quarantined now, or until another request explained it.
   Duration age{0};                  ///< Since the last of these crashes.
   bool operator==(const SuspectEntry&) const = default;
 };
--- a/include/rudderloom/quarantine/news_log.hpp
+++ b/include/rudderloom/quarantine/crash_news_log.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Crash observations that are being reported to the lease holder.
-#ifndef RUDDERLOOM_QUARANTINE_NEWS_LOG_HPP
-#define RUDDERLOOM_QUARANTINE_NEWS_LOG_HPP
+#ifndef RUDDERLOOM_QUARANTINE_CRASH_NEWS_LOG_HPP
+#define RUDDERLOOM_QUARANTINE_CRASH_NEWS_LOG_HPP
 
 #include <deque>  // for deque
 
@@ -13,7 +13,7 @@
 /// @brief Keeps observations while they are repeated in each report, so that they also reach a
 /// holder that acquires the lease in the meantime. Does no I/O; time is passed in.
 /// @ingroup quarantine
-class NewsLog {
+class CrashNewsLog {
  public:
   /// @brief Adds observations; returns false if all of them are already being reported.
   bool Add(const CrashNews& news, TimePoint now);
--- a/include/rudderloom/quarantine/crash_watch.hpp
+++ b/include/rudderloom/quarantine/crash_watch.hpp
@@ -18,7 +18,7 @@
 /// @brief Timeout of the probe whether an endpoint still listens. A machine that is up answers
 /// within some milliseconds.
 /// @ingroup quarantine
-constexpr Duration kListeningAnswer{200};
+constexpr Duration kProbeTimeout{200};
 
 /// @brief Collects the requests that were in flight on an endpoint when its process crashed. Does
 /// no I/O; time is passed in.
@@ -35,10 +35,10 @@
  public:
   /// @brief Records that a connection to the endpoint failed during a request.
   /// @return True if the endpoint should be probed; once for many requests.
-  bool Broke(const std::string& instance,
-             const RequestDigest& request,
-             TimePoint sent_at,
-             TimePoint now);
+  bool RecordFailure(const std::string& instance,
+                     const RequestDigest& request,
+                     TimePoint sent_at,
+                     TimePoint now);
 
   /// @brief Records that no process listens at the endpoint's address.
   void Ended(const std::string& instance, TimePoint now);
@@ -51,7 +51,7 @@
   void Cleared(const RequestDigest& request) { news_.cleared.insert(request); }
 
   /// @brief Returns true if there is something to report.
-  bool HasNews() const { return !news_.Empty(); }
+  bool HasObservations() const { return !news_.Empty(); }
 
   /// @brief Returns the observations since the last call.
   CrashNews Take();
--- a/include/rudderloom/quota/grant_book.hpp
+++ b/include/rudderloom/quota/grant_book.hpp
@@ -13,7 +13,7 @@
 
 /// @brief A node's inquiry to the lease holder, or to its relay, whether a request may run.
 /// @ingroup quota
-struct SpendAsk {
+struct SpendRequest {
   CustomerKey customer = 0;
   std::uint64_t amount = 0;
 };
@@ -21,19 +21,19 @@
 /// @brief Decision of the node that was asked.
 /// @ingroup quota
 enum class SpendVerdict {
-  kCantSay,  ///< It is not granting now, or knows no such limit: the asking node decides.
-  kGranted,  ///< The request may run and was deducted from the balance.
-  kRefused,  ///< The balance is spent.
+  kUndecided,  ///< It is not granting now, or knows no such limit: the asking node decides.
+  kGranted,    ///< The request may run and was deducted from the balance.
+  kRefused,    ///< The balance is spent.
 };
 
 /// @brief Returns the name used as a metric label.
 /// @ingroup quota
 std::string_view NameOf(SpendVerdict verdict);
 
-/// @brief Answer to a `SpendAsk`.
+/// @brief Answer to a `SpendRequest`.
 /// @ingroup quota
 struct SpendAnswer {
-  SpendVerdict verdict = SpendVerdict::kCantSay;
+  SpendVerdict verdict = SpendVerdict::kUndecided;
   Duration wait{0};  ///< If refused: until the balance admits another request.
 };
 
@@ -41,12 +41,12 @@
 /// granted centrally. A quarter saves the round trip for the small requests of large customers,
 /// which are the majority.
 /// @ingroup quota
-constexpr double kSharedPart = 0.25;
+constexpr double kSharedFraction = 0.25;
 
 /// @brief A node without a digest younger than this considers the holder lost and asks its relay.
 /// Digests arrive every 250 ms and are some 300 ms old.
 /// @ingroup quota
-constexpr Duration kGrantsWithWord{1'000};
+constexpr Duration kMaxGrantDigestAge{1'000};
 
 /// @brief Input to grant decisions, as last published by the control state of the holder or, while
 /// there is none, of a relay.
@@ -57,9 +57,9 @@
   TimePoint valid_until;  ///< or from this time on.
   BalanceTable balances;
   QuotaLimits limits;
-  UnknownBalance unknown = UnknownBalance::kEmpty;  ///< For customers without a balance.
+  AssumedBalance assumed = AssumedBalance::kEmpty;  ///< For customers without a balance.
   TimePoint unknown_since;
-  double part = 1.0;          ///< Fraction of balances and limits that this node may grant.
+  double fraction = 1.0;      ///< Fraction of balances and limits that this node may grant.
   std::uint64_t counted = 0;  ///< The last grant included in the balances.
 };
 
@@ -67,7 +67,7 @@
 /// @ingroup quota
 struct SpendGrant {
   std::uint64_t number = 0;  ///< Increases with each grant.
-  SpendAsk ask;
+  SpendRequest ask;
 };
 
 /// @brief Grants requests from the published balances, less the grants made since. Does no I/O;
@@ -80,7 +80,7 @@
  public:
   explicit GrantBook(const QuotaBounds& bounds) : bounds_(bounds) {}
 
-  SpendAnswer Ask(const SpendAsk& ask, const GrantBasis& basis, TimePoint now);
+  SpendAnswer Ask(const SpendRequest& ask, const GrantBasis& basis, TimePoint now);
 
   /// @brief Returns the most recent grant.
   const SpendGrant& Last() const { return outstanding_.back(); }
--- a/include/rudderloom/quota/quota_account.hpp
+++ b/include/rudderloom/quota/quota_account.hpp
@@ -5,8 +5,8 @@
 
 #include <map>  // for map
 
-#include "rudderloom/quota/grant_book.hpp"  // for kSharedPart
-#include "rudderloom/quota/spending.hpp"    // for QuotaWordPtr
+#include "rudderloom/quota/grant_book.hpp"  // for kSharedFraction
+#include "rudderloom/quota/spending.hpp"    // for QuotaSnapshotPtr
 
 namespace rudderloom {
 
@@ -53,10 +53,13 @@
 
   /// @brief Returns true while the holder's digest is recent enough that the holder itself grants
   /// requests. After that its relays do, each for the nodes that report to it.
-  bool WordFresh(TimePoint now) const;
+  bool HasFreshDigest(TimePoint now) const;
 
   /// @brief Records a request. Call once per request, before any decision on it.
-  void Asked(CustomerKey customer, const QuotaLimit& limit, std::uint64_t amount, TimePoint now);
+  void RecordRequest(CustomerKey customer,
+                     const QuotaLimit& limit,
+                     std::uint64_t amount,
+                     TimePoint now);
 
   /// @brief Decides on a request and deducts its amount if granted.
   QuotaDecision Decide(CustomerKey customer,
@@ -69,10 +72,10 @@
   void RefusedByGranter(CustomerKey customer, Duration wait, TimePoint now);
 
   /// @brief Refunds a request that was granted by any node but refused for another reason.
-  void GiveBack(CustomerKey customer, std::uint64_t amount);
+  void Refund(CustomerKey customer, std::uint64_t amount);
 
   /// @brief Applies a newer digest; no effect if it is the same one.
-  void Heard(QuotaWordPtr snapshot, TimePoint now);
+  void ApplyDigest(QuotaSnapshotPtr snapshot, TimePoint now);
 
   /// @brief Returns the spending since the last call, for all recently active customers.
   SpendingTable Take(TimePoint now);
@@ -85,7 +88,7 @@
     TimePoint refused_until;  // by the granting node
     TimePoint refilled_at;
     TimePoint asked_at;
-    FadingRate asked;
+    DecayingRate asked;
     std::int64_t total_spent = 0;  // spent without asking since process start
     Spending unreported;
   };
@@ -97,7 +100,7 @@
   void ApplySnapshot(CustomerKey customer, Account& account, TimePoint now) const;
 
   QuotaBounds bounds_;
-  QuotaWordPtr snapshot_;
+  QuotaSnapshotPtr snapshot_;
   std::map<CustomerKey, Account> accounts_;
 };
 
--- a/include/rudderloom/quota/quota_ledger.hpp
+++ b/include/rudderloom/quota/quota_ledger.hpp
@@ -6,14 +6,14 @@
 #include <map>       // for map
 #include <optional>  // for optional
 
-#include "rudderloom/quota/grant_book.hpp"  // for SpendAsk
+#include "rudderloom/quota/grant_book.hpp"  // for SpendRequest
 #include "rudderloom/quota/spending.hpp"    // for BalanceTable
 
 namespace rudderloom {
 
 /// @brief Balances that a new holder takes over from its predecessor.
 /// @ingroup quota
-struct FormerBalances {
+struct PreviousBalances {
   BalanceTable balances;
   TimePoint made_at;  ///< When they were valid.
 };
@@ -30,15 +30,15 @@
   explicit QuotaLedger(const QuotaBounds& bounds) : bounds_(bounds) {}
 
   /// @brief Resets the ledger when this node acquires the lease.
-  void Begin(const FormerBalances& former, UnknownBalance unknown, TimePoint now);
+  void Begin(const PreviousBalances& former, AssumedBalance unknown, TimePoint now);
 
   /// @brief Refills the balances up to `now` and deducts the reported spending.
-  void Move(const SpendingTable& reported, const QuotaLimits& limits, TimePoint now);
+  void Update(const SpendingTable& reported, const QuotaLimits& limits, TimePoint now);
 
   /// @brief Deducts a request that the holder granted.
-  void Granted(const SpendAsk& granted, const QuotaLimits& limits, TimePoint now);
+  void Granted(const SpendRequest& granted, const QuotaLimits& limits, TimePoint now);
 
-  UnknownBalance Unknown() const { return unknown_; }
+  AssumedBalance Unknown() const { return unknown_; }
   TimePoint BegunAt() const { return begun_at_; }
 
   BalanceTable Balances(TimePoint now) const;
@@ -47,7 +47,7 @@
   struct Entry {
     double level = 0.0;
     std::uint32_t nodes = 0;
-    FadingRate asked;
+    DecayingRate asked;
     TimePoint refilled_at;
   };
 
@@ -55,8 +55,8 @@
   void Refill(Entry& entry, const QuotaLimit& limit, TimePoint now) const;
 
   QuotaBounds bounds_;
-  FormerBalances former_;
-  UnknownBalance unknown_ = UnknownBalance::kEmpty;
+  PreviousBalances former_;
+  AssumedBalance unknown_ = AssumedBalance::kEmpty;
   TimePoint begun_at_;
   std::map<CustomerKey, Entry> entries_;
 };
--- a/include/rudderloom/quota/spending.hpp
+++ b/include/rudderloom/quota/spending.hpp
@@ -28,12 +28,12 @@
 /// traffic, or with a prompt larger than the burst, are within their limit on average. The other
 /// three quarters are reserved for what nodes spend before they learn of each other's spending.
 /// @ingroup quota
-std::int64_t MostAhead(const QuotaLimit& limit, const QuotaBounds& bounds);
+std::int64_t MaxBalance(const QuotaLimit& limit, const QuotaBounds& bounds);
 
 /// @brief Assumption on customers without a known balance.
 /// @ingroup quota
-enum class UnknownBalance {
-  kWhole,    ///< First start of the whole system: nothing was spent.
+enum class AssumedBalance {
+  kFull,     ///< First start of the whole system: nothing was spent.
   kQuarter,  ///< Mostly unspent at the last renewal by the holder before last.
   kEmpty,    ///< May have been spent on nodes that are gone.
 };
@@ -41,7 +41,7 @@
 /// @brief Returns the assumed balance of a customer without a known one.
 /// @param since When the assumption held.
 /// @ingroup quota
-double UnknownLevel(UnknownBalance unknown,
+double AssumedLevel(AssumedBalance unknown,
                     const QuotaLimit& limit,
                     const QuotaBounds& bounds,
                     TimePoint since,
@@ -52,13 +52,13 @@
 struct Spending {
   std::int64_t spent = 0;   ///< By granted requests; negative if more was refunded.
   std::uint64_t asked = 0;  ///< Including refused requests.
-  std::uint32_t nodes = 0;  ///< Nodes with requests within `kAsksFor`.
+  std::uint32_t nodes = 0;  ///< Nodes with requests within `kActiveNodeTime`.
   bool operator==(const Spending&) const = default;
 };
 
 /// @brief Time after a request for which a node counts as used by the customer.
 /// @ingroup quota
-constexpr Duration kAsksFor{10'000};
+constexpr Duration kActiveNodeTime{10'000};
 
 /// @brief Spending by customer.
 /// @ingroup quota
@@ -66,7 +66,7 @@
 
 /// @brief Adds earlier spending to a newer table of the same node.
 /// @ingroup quota
-void AddUntold(const SpendingTable& earlier, SpendingTable& newer);
+void MergeUnreported(const SpendingTable& earlier, SpendingTable& newer);
 
 /// @brief Fleet-wide balance of a customer, according to the lease holder's digest.
 /// @ingroup quota
@@ -83,7 +83,7 @@
 
 /// @brief The holder's balances for the traffic thread. Immutable once published.
 /// @ingroup quota
-struct QuotaWord {
+struct QuotaSnapshot {
   TimePoint made_at;  ///< When the holder created it.
   BalanceTable balances;
   /// @brief Spending of this process since its start that is included in the balances.
@@ -92,11 +92,11 @@
 
 /// @brief Null before the first digest.
 /// @ingroup quota
-using QuotaWordPtr = std::shared_ptr<const QuotaWord>;
+using QuotaSnapshotPtr = std::shared_ptr<const QuotaSnapshot>;
 
 /// @brief Exponentially decaying average of an amount per second.
 /// @ingroup quota
-class FadingRate {
+class DecayingRate {
  public:
   void Add(std::uint64_t amount, TimePoint now);
   double PerSecond(TimePoint now) const;
--- a/include/rudderloom/quota/spending_log.hpp
+++ b/include/rudderloom/quota/spending_log.hpp
@@ -7,7 +7,7 @@
 #include <map>     // for map
 #include <string>  // for string
 
-#include "rudderloom/quota/grant_book.hpp"  // for SpendAsk
+#include "rudderloom/quota/grant_book.hpp"  // for SpendRequest
 #include "rudderloom/quota/spending.hpp"    // for SpendingTable
 
 namespace rudderloom {
@@ -32,16 +32,16 @@
   explicit SpendingLog(std::uint64_t first_number) : next_number_(first_number) {}
 
   /// @brief Adds this node's own spending since the last call.
-  void CountedSelf(const SpendingTable& own);
+  void RecordOwn(const SpendingTable& own);
 
   /// @brief Adds the spending reported by another node, with the number of its report.
-  void Counted(const std::string& node,
-               std::uint64_t number,
-               const SpendingTable& reported,
-               TimePoint now);
+  void RecordMember(const std::string& node,
+                    std::uint64_t number,
+                    const SpendingTable& reported,
+                    TimePoint now);
 
   /// @brief Adds a request of another node that this node granted in place of the holder.
-  void Granted(const SpendAsk& ask) {
+  void Granted(const SpendRequest& ask) {
     pending_[ask.customer].spent += static_cast<std::int64_t>(ask.amount);
   }
 
@@ -49,8 +49,8 @@
   SpendingReport Take(TimePoint now);
 
   /// @brief Marks the report of this number and all earlier ones as delivered, or as failed.
-  void Arrived(std::uint64_t number);
-  void Failed(std::uint64_t number);
+  void MarkDelivered(std::uint64_t number);
+  void MarkFailed(std::uint64_t number);
 
   /// @brief Marks the report of this number and all earlier ones as included in the holder's
   /// balances.
--- a/include/rudderloom/residency/pool_keeper.hpp
+++ b/include/rudderloom/residency/pool_keeper.hpp
@@ -27,7 +27,7 @@
 
 /// @brief How a pool's object was read.
 /// @ingroup residency
-enum class PoolSight {
+enum class PoolReadKind {
   kWatched,  ///< From a watch; may be outdated.
   kRead,     ///< From a fresh read; includes everything written before the read started.
 };
@@ -71,13 +71,13 @@
              ResidencySettings settings);
 
   /// @brief Applies a read of the object. An empty version means that it does not exist.
-  void Seen(const PoolRecord& record,
-            const std::optional<StoreRevision>& version,
-            PoolSight sight,
-            TimePoint now);
+  void ApplyRead(const PoolRecord& record,
+                 const std::optional<StoreRevision>& version,
+                 PoolReadKind sight,
+                 TimePoint now);
 
   /// @brief Notes that the write in flight succeeded and produced this revision.
-  void Written(const StoreRevision& version, TimePoint now);
+  void OnWriteSucceeded(const StoreRevision& version, TimePoint now);
 
   /// @brief Notes that the write in flight failed or its result is unknown; the object will be read
   /// again.
@@ -100,7 +100,7 @@
 
   /// @brief Returns the newest epoch such that this process has no outstanding order of an older
   /// one.
-  std::uint64_t QuietEpoch() const;
+  std::uint64_t OldestOrderEpoch() const;
 
   const PoolRecord& Stored() const { return stored_; }
 
--- a/include/rudderloom/residency/pool_view.hpp
+++ b/include/rudderloom/residency/pool_view.hpp
@@ -53,7 +53,7 @@
   std::vector<WantedUnit> wanted;
   /// @brief Returns true if that incarnation can no longer send an order older than the given
   /// epoch, because it has said so or its process has ended.
-  std::function<bool(const std::string& incarnation, std::uint64_t epoch)> quiet;
+  std::function<bool(const std::string& incarnation, std::uint64_t epoch)> is_silent;
 };
 
 /// @brief Returns the planner's input for a pool, combining its reservations with the observed
--- a/include/rudderloom/routes/caller.hpp
+++ b/include/rudderloom/routes/caller.hpp
@@ -12,16 +12,16 @@
 
 /// @brief Result of checking a caller's key on a route.
 /// @ingroup routes
-enum class CallerStanding {
-  kAnybody,   ///< The route requires no key.
-  kCustomer,  ///< The key belongs to a customer.
-  kUnknown,   ///< The route requires a key, but it is missing or belongs to no customer.
+enum class CallerStatus {
+  kAnonymous,  ///< The route requires no key.
+  kCustomer,   ///< The key belongs to a customer.
+  kUnknown,    ///< The route requires a key, but it is missing or belongs to no customer.
 };
 
 /// @brief A caller and the customer that its key belongs to, if any.
 /// @ingroup routes
 struct Caller {
-  CallerStanding standing = CallerStanding::kAnybody;
+  CallerStatus standing = CallerStatus::kAnonymous;
   const Customer* customer = nullptr;  ///< Owned by the route table.
 };
 
--- a/include/rudderloom/routing/router.hpp
+++ b/include/rudderloom/routing/router.hpp
@@ -15,9 +15,10 @@
 
 /// @brief Constraints of one request on the choice of an endpoint.
 /// @ingroup routing
-struct RouteAsk {
+struct RouteQuery {
   std::uint64_t prefix = 0;  ///< Hash of the prompt's prefix.
-  bool fills = false;        ///< Background request: uses only capacity that urgent requests leave.
+  bool is_background =
+      false;  ///< Background request: uses only capacity that urgent requests leave.
   std::vector<std::uint32_t> excluded;  ///< Ids of endpoints that failed this request.
 };
 
@@ -35,22 +36,22 @@
   /// Prefers the endpoint that the prefix maps to while its expected wait is close to the others'.
   std::optional<std::uint32_t> Choose(const Snapshot& snapshot,
                                       const ServingSet& set,
-                                      const RouteAsk& ask,
+                                      const RouteQuery& ask,
                                       TimePoint now);
 
   /// @brief Records the start of a request.
-  void Started(std::uint32_t id);
+  void RequestStarted(std::uint32_t id);
 
   /// @brief Records the end of a request; `first_byte` is the time to its first byte, used to
   /// detect slow endpoints.
-  void Ended(std::uint32_t id, RouteResult result, Duration first_byte, TimePoint now);
+  void RequestEnded(std::uint32_t id, RouteResult result, Duration first_byte, TimePoint now);
 
   /// @brief Number of this node's requests in flight on an endpoint.
   std::uint32_t InFlight(std::uint32_t id) const;
 
   /// @brief Number of requests that this node may run on the endpoints of a set: the sum of its
   /// even shares.
-  std::uint32_t Room(const Snapshot& snapshot, const ServingSet& set) const;
+  std::uint32_t AvailableShare(const Snapshot& snapshot, const ServingSet& set) const;
 
  private:
   struct Load {
@@ -61,7 +62,10 @@
   };
 
   Load& LoadOf(std::uint32_t id);
-  bool CanAccept(const Snapshot& snapshot, std::uint32_t index, const RouteAsk& ask, TimePoint now);
+  bool CanAccept(const Snapshot& snapshot,
+                 std::uint32_t index,
+                 const RouteQuery& ask,
+                 TimePoint now);
   double Cost(const Snapshot& snapshot, std::uint32_t index);
   std::uint32_t RandomIndex(std::uint32_t count);
 
--- a/include/rudderloom/store/object_store.hpp
+++ b/include/rudderloom/store/object_store.hpp
@@ -135,7 +135,7 @@
 
 /// @brief Time limit and retry delay for confirming a write whose outcome is unknown.
 /// @ingroup store
-struct SettleTimes {
+struct ConfirmTimes {
   Duration limit{3'000};
   Duration pause{100};
 };
@@ -144,12 +144,12 @@
 /// for the writer's token. Returns the stored object or an error; kUnknown only if the outcome
 /// could not be determined within the time limit.
 /// @ingroup store
-Awaitable<std::variant<StoredObject, StoreError>> PutSettled(asio::io_context& context,
-                                                             ObjectStore& store,
-                                                             std::string kind,
-                                                             StoredObject object,
-                                                             std::string token,
-                                                             SettleTimes times);
+Awaitable<std::variant<StoredObject, StoreError>> PutAndConfirm(asio::io_context& context,
+                                                                ObjectStore& store,
+                                                                std::string kind,
+                                                                StoredObject object,
+                                                                std::string token,
+                                                                ConfirmTimes times);
 
 }  // namespace rudderloom
 
--- a/include/rudderloom/store/call_tally.hpp
+++ b/include/rudderloom/store/store_call_log.hpp
@@ -1,7 +1,7 @@
 /// @file
 /// Logs how many calls a node makes to the store.
-#ifndef RUDDERLOOM_STORE_CALL_TALLY_HPP
-#define RUDDERLOOM_STORE_CALL_TALLY_HPP
+#ifndef RUDDERLOOM_STORE_STORE_CALL_LOG_HPP
+#define RUDDERLOOM_STORE_STORE_CALL_LOG_HPP
 
 #include <cstdint>      // for uint64_t
 #include <map>          // for map
@@ -16,7 +16,7 @@
 /// while calls are made. Calls are charged individually. The log lines of all nodes can be added up
 /// to find the causes of high call rates, which only show in the fleet as a whole.
 /// @ingroup store
-class CallTally {
+class StoreCallLog {
  public:
   /// @brief Counts a completed call.
   void Count(std::string_view verb, std::string_view kind, TimePoint now);
--- a/include/rudderloom/store/store_follower.hpp
+++ b/include/rudderloom/store/store_follower.hpp
@@ -21,13 +21,13 @@
   explicit FollowPace(asio::io_context& context) : resumed_(context) {}
 
   /// @brief Minimum time between the starts of two watches. Batches changes that arrive in between.
-  Duration least_between{0};
+  Duration min_interval{0};
   /// @brief Duration of a watch without changes; empty: the default of the store.
   std::optional<Duration> watch_time;
 
   /// @brief Interval at which objects are listed again, in case a watch missed a change; empty:
   /// never.
-  std::optional<Duration> list_every;
+  std::optional<Duration> relist_interval;
 
   /// @brief Pause after the first successful list until `Resume` is called.
   bool once = false;
--- a/src/load/sender.cpp
+++ b/src/load/sender.cpp
@@ -113,7 +113,7 @@
 // Makes one attempt. Like a load balancer, it tries the next entry node while connecting fails.
 Awaitable<void> Sender::SendAttempt(const RequestSpec& spec, Outcome& outcome) {
   const TimePoint started = Now();
-  CallTimes times;
+  CallTimeouts times;
   times.connect = Duration(500);
   times.first_byte = kResponseTimeout;
   times.between = kResponseTimeout;
@@ -121,9 +121,9 @@
     const std::string& target =
         scenario_.entry_nodes[(spec.node_index + i) % scenario_.entry_nodes.size()];
     HttpRequest request = BuildRequest(spec, target);
-    auto opened = co_await client_.Open(target, std::move(request), times, Reuse::kNever);
+    auto opened = co_await client_.Open(target, std::move(request), times, ConnectionReuse::kNever);
     if (auto* failure = std::get_if<HttpFailure>(&opened)) {
-      if (failure->may_have_left) {
+      if (failure->may_have_been_sent) {
         outcome.all_refusals_said_not_run = false;
         SetFailure(outcome, RequestResult::kReportedError, "cut");
         outcome.total_time = Between(started, Now());
@@ -249,7 +249,8 @@
 Awaitable<std::map<std::string, std::int64_t>> Sender::FetchRunCounts(std::string address) {
   std::map<std::string, std::int64_t> run_counts;
   HttpRequest request = MakeRequest(http::verb::get, address, "/stats");
-  auto answer = co_await client_.Call(address, std::move(request), CallTimes{}, Reuse::kNever);
+  auto answer =
+      co_await client_.Call(address, std::move(request), CallTimeouts{}, ConnectionReuse::kNever);
   const auto* response = std::get_if<HttpResponse>(&answer);
   if (response == nullptr) {
     co_return run_counts;
--- a/src/rudderloom/admission/admission_queue.cpp
+++ b/src/rudderloom/admission/admission_queue.cpp
@@ -30,9 +30,9 @@
   return ServiceTimeOf(target) * static_cast<Duration::rep>(ahead + 1) / places;
 }
 
-std::optional<AdmissionRefusal> AdmissionQueue::Enter(const Applicant& applicant,
-                                                      std::uint32_t slots,
-                                                      TimePoint now) {
+std::optional<AdmissionRefusal> AdmissionQueue::Enqueue(const QueuedRequest& applicant,
+                                                        std::uint32_t slots,
+                                                        TimePoint now) {
   using Reason = AdmissionRefusal::Reason;
   const Duration wait = ExpectedWait(applicant.target, applicant.priority, slots);
   const Duration come_back = std::max(kMinRetryDelay, wait);
@@ -65,8 +65,8 @@
   return std::nullopt;
 }
 
-std::optional<Applicant> AdmissionQueue::Next(
-    const std::function<bool(const Applicant&)>& can_start) {
+std::optional<QueuedRequest> AdmissionQueue::Next(
+    const std::function<bool(const QueuedRequest&)>& can_start) {
   for (auto& [priority, caller_queues] : priorities_) {
     std::vector<CallerQueue*> order;
     for (auto& [caller, caller_queue] : caller_queues) {
@@ -81,7 +81,7 @@
       if (first == caller_queue->waiting.end()) {
         continue;
       }
-      Applicant next = *first;
+      QueuedRequest next = *first;
       caller_queue->virtual_time += 1.0;
       Remove(next.ticket);
       return next;
@@ -95,7 +95,7 @@
     for (auto& [caller, caller_queue] : caller_queues) {
       const auto found =
           std::find_if(caller_queue.waiting.begin(), caller_queue.waiting.end(),
-                       [&](const Applicant& waiting) { return waiting.ticket == ticket; });
+                       [&](const QueuedRequest& waiting) { return waiting.ticket == ticket; });
       if (found == caller_queue.waiting.end()) {
         continue;
       }
@@ -108,18 +108,18 @@
   return false;
 }
 
-std::vector<Applicant> AdmissionQueue::Expire(TimePoint now) {
-  std::vector<Applicant> expired;
+std::vector<QueuedRequest> AdmissionQueue::Expire(TimePoint now) {
+  std::vector<QueuedRequest> expired;
   for (const auto& [priority, caller_queues] : priorities_) {
     for (const auto& [caller, caller_queue] : caller_queues) {
-      for (const Applicant& waiting : caller_queue.waiting) {
+      for (const QueuedRequest& waiting : caller_queue.waiting) {
         if (now >= waiting.deadline) {
           expired.push_back(waiting);
         }
       }
     }
   }
-  for (const Applicant& applicant : expired) {
+  for (const QueuedRequest& applicant : expired) {
     Remove(applicant.ticket);
   }
   for (auto& [priority, caller_queues] : priorities_) {
@@ -129,7 +129,7 @@
   return expired;
 }
 
-void AdmissionQueue::Served(const std::string& target, Duration service_time) {
+void AdmissionQueue::RecordServiceTime(const std::string& target, Duration service_time) {
   const auto sample = static_cast<double>(service_time.count());
   const auto [found, is_new] = service_times_ms_.try_emplace(target, sample);
   if (!is_new) {
--- a/src/rudderloom/admission/admission_queue_test.cpp
+++ b/src/rudderloom/admission/admission_queue_test.cpp
@@ -10,8 +10,8 @@
 
 const TimePoint kStart{};
 
-Applicant MakeApplicant(Ticket ticket, std::int64_t priority, const std::string& caller) {
-  Applicant applicant;
+QueuedRequest MakeApplicant(Ticket ticket, std::int64_t priority, const std::string& caller) {
+  QueuedRequest applicant;
   applicant.ticket = ticket;
   applicant.target = "m";
   applicant.caller = caller;
@@ -20,7 +20,7 @@
   return applicant;
 }
 
-bool AcceptAny(const Applicant&) {
+bool AcceptAny(const QueuedRequest&) {
   return true;
 }
 
@@ -28,9 +28,9 @@
 
 TEST_CASE("urgent requests are served first, equal ones in arrival order") {
   AdmissionQueue queue(10);
-  queue.Enter(MakeApplicant(1, 5, "a"), 1, kStart);
-  queue.Enter(MakeApplicant(2, 0, "a"), 1, kStart);
-  queue.Enter(MakeApplicant(3, 5, "a"), 1, kStart);
+  queue.Enqueue(MakeApplicant(1, 5, "a"), 1, kStart);
+  queue.Enqueue(MakeApplicant(2, 0, "a"), 1, kStart);
+  queue.Enqueue(MakeApplicant(3, 5, "a"), 1, kStart);
   CHECK(queue.Next(AcceptAny)->ticket == 2);
   CHECK(queue.Next(AcceptAny)->ticket == 1);
   CHECK(queue.Next(AcceptAny)->ticket == 3);
@@ -41,10 +41,10 @@
   AdmissionQueue queue(1'000);
   Ticket ticket = 0;
   for (int i = 0; i < 100; ++i) {
-    queue.Enter(MakeApplicant(++ticket, 5, "a storm"), 1, kStart);
+    queue.Enqueue(MakeApplicant(++ticket, 5, "a storm"), 1, kStart);
   }
   for (int i = 0; i < 5; ++i) {
-    queue.Enter(MakeApplicant(++ticket, 5, "quiet"), 1, kStart);
+    queue.Enqueue(MakeApplicant(++ticket, 5, "quiet"), 1, kStart);
   }
   int quiet = 0;
   for (int i = 0; i < 10; ++i) {
@@ -55,33 +55,33 @@
 
 TEST_CASE("a request that can't start keeps its position and does not block others") {
   AdmissionQueue queue(10);
-  queue.Enter(MakeApplicant(1, 5, "a"), 1, kStart);
-  queue.Enter(MakeApplicant(2, 5, "a"), 1, kStart);
-  const auto second = [](const Applicant& applicant) { return applicant.ticket == 2; };
+  queue.Enqueue(MakeApplicant(1, 5, "a"), 1, kStart);
+  queue.Enqueue(MakeApplicant(2, 5, "a"), 1, kStart);
+  const auto second = [](const QueuedRequest& applicant) { return applicant.ticket == 2; };
   CHECK(queue.Next(second)->ticket == 2);
   CHECK(queue.Next(AcceptAny)->ticket == 1);
 }
 
 TEST_CASE("a request that can't meet its deadline is refused at once with a retry delay") {
   AdmissionQueue queue(1'000);
-  queue.Served("m", Duration(1'000));
+  queue.RecordServiceTime("m", Duration(1'000));
   Ticket ticket = 0;
   std::optional<AdmissionRefusal> refused;
   while (!refused) {
-    refused = queue.Enter(MakeApplicant(++ticket, 5, "a"), 2, kStart);
+    refused = queue.Enqueue(MakeApplicant(++ticket, 5, "a"), 2, kStart);
   }
   CHECK(refused->reason == AdmissionRefusal::Reason::kDeadlineUnreachable);
   CHECK(ticket == 21);  // 10 s deadline, two slots, 1 s per request
-  CHECK(refused->come_back >= Duration(10'000));
+  CHECK(refused->retry_delay >= Duration(10'000));
   // A more urgent request is served before all of them.
-  CHECK_FALSE(queue.Enter(MakeApplicant(++ticket, 0, "a"), 2, kStart));
+  CHECK_FALSE(queue.Enqueue(MakeApplicant(++ticket, 0, "a"), 2, kStart));
 }
 
 TEST_CASE("a full queue refuses, and expired requests leave it") {
   AdmissionQueue queue(2);
-  CHECK_FALSE(queue.Enter(MakeApplicant(1, 5, "a"), 1, kStart));
-  CHECK_FALSE(queue.Enter(MakeApplicant(2, 5, "a"), 1, kStart));
-  const auto refused = queue.Enter(MakeApplicant(3, 5, "a"), 1, kStart);
+  CHECK_FALSE(queue.Enqueue(MakeApplicant(1, 5, "a"), 1, kStart));
+  CHECK_FALSE(queue.Enqueue(MakeApplicant(2, 5, "a"), 1, kStart));
+  const auto refused = queue.Enqueue(MakeApplicant(3, 5, "a"), 1, kStart);
   REQUIRE(refused);
   CHECK(refused->reason == AdmissionRefusal::Reason::kQueueFull);
   CHECK(queue.Expire(kStart + Duration(9'999)).empty());
@@ -93,7 +93,7 @@
 TEST_CASE("overload at three times the capacity: goodput stays near the capacity") {
   // Ten slots, 100 ms per request, 300 requests per second, deadlines of 500 ms, over 20 s.
   AdmissionQueue queue(1'000);
-  queue.Served("m", Duration(100));
+  queue.RecordServiceTime("m", Duration(100));
   std::vector<TimePoint> ends;
   int in_time = 0;
   Ticket ticket = 0;
@@ -103,9 +103,9 @@
     std::erase_if(ends, [&](TimePoint end) { return end <= now; });
     if (ms % 10 < 3) {
       ++ticket;
-      Applicant applicant = MakeApplicant(ticket, 5, "caller" + std::to_string(ticket % 7));
+      QueuedRequest applicant = MakeApplicant(ticket, 5, "caller" + std::to_string(ticket % 7));
       applicant.deadline = now + Duration(500);
-      queue.Enter(applicant, 10, now);
+      queue.Enqueue(applicant, 10, now);
     }
     queue.Expire(now);
     while (ends.size() < 10) {
--- a/src/rudderloom/app/commands.cpp
+++ b/src/rudderloom/app/commands.cpp
@@ -111,7 +111,7 @@
     return ExitStatus::kConflict;
   }
   ExitStatus operator()(const ChangeInvalid& invalid) {
-    PrintErrors(invalid.mistakes, options.json);
+    PrintErrors(invalid.validation_errors, options.json);
     return ExitStatus::kInvalid;
   }
   ExitStatus operator()(const ChangeUnreachable& unreachable) {
@@ -155,7 +155,7 @@
 
 // Validates a settings file of either daemon variant.
 JsonErrors ValidateSettings(const std::string& text) {
-  if (AsksForFleet(text)) {
+  if (IsFleetSettings(text)) {
     auto read = ParseFleetSettings(text);
     const auto* errors = std::get_if<JsonErrors>(&read);
     return errors == nullptr ? JsonErrors() : *errors;
@@ -190,7 +190,7 @@
   ChangeRequest request;
   request.what = ApplySet{DeclarationSetName(directory),
                           std::move(std::get<std::vector<DeclarationFile>>(files))};
-  auto changed = Changed(Configuration(), request);
+  auto changed = ApplyChange(Configuration(), request);
   if (auto* errors = std::get_if<JsonErrors>(&changed)) {
     PrintErrors(*errors, json);
     return ExitStatus::kInvalid;
--- a/src/rudderloom/app/daemon.cpp
+++ b/src/rudderloom/app/daemon.cpp
@@ -7,12 +7,12 @@
 #include <random>    // for random_device
 #include <thread>    // for thread
 
-#include "rudderloom/base/log_line.hpp"          // for LogLine
-#include "rudderloom/callers/front.hpp"          // for Front
-#include "rudderloom/control/control_actor.hpp"  // for ControlActor
-#include "rudderloom/control/control_shell.hpp"  // for ControlShell
-#include "rudderloom/http/ending_context.hpp"    // for EndingContext
-#include "rudderloom/peers/node_server.hpp"      // for NodeServer
+#include "rudderloom/base/log_line.hpp"             // for LogLine
+#include "rudderloom/callers/frontend.hpp"          // for Frontend
+#include "rudderloom/control/control_actor.hpp"     // for ControlActor
+#include "rudderloom/control/control_shell.hpp"     // for ControlShell
+#include "rudderloom/http/destroyable_context.hpp"  // for DestroyableContext
+#include "rudderloom/peers/node_server.hpp"         // for NodeServer
 
 namespace rudderloom {
 
@@ -71,7 +71,7 @@
                {[this](message::Any any) { actor_->Post(std::move(any)); }}) {}
 
   int Run() {
-    contact_.Heard(Now());
+    contact_.RecordContact(Now());
     actor_ = std::make_unique<ControlActor>(settings_, incarnation_, node_server_.Address(),
                                             MakeSinks());
     const std::string callers = front_.Start();
@@ -96,8 +96,8 @@
     control.join();
     traffic.join();
     node_server_.Stop();
-    control_context_.EndCoroutines();
-    traffic_context_.EndCoroutines();
+    control_context_.DestroyCoroutines();
+    traffic_context_.DestroyCoroutines();
     actor_.reset();
     LogLine("stopped").With("node", settings_.name).With("clean", clean ? "yes" : "no");
     return clean ? 0 : 1;
@@ -120,13 +120,13 @@
         metrics_.Set({"rudderloom_serving_endpoints", "model", name},
                      static_cast<double>(set.endpoints.size()));
       }
-      front_.Use(std::move(snapshot));
+      front_.UpdateSnapshot(std::move(snapshot));
     };
     sinks.report = [this](std::shared_ptr<const NodeReport> report) {
       released_.store(report->released);
       metrics_.Set({"rudderloom_held_leases"}, static_cast<double>(report->held_pools.size()));
-      shell_.Reported(report);
-      node_server_.Reported(std::move(report));
+      shell_.UpdateReport(report);
+      node_server_.UpdateReport(std::move(report));
     };
     sinks.cpu_seconds = [this](double seconds) {
       metrics_.Set({"rudderloom_control_cpu_seconds"}, seconds);
@@ -155,7 +155,7 @@
     LogLine("stopping").With("node", settings_.name);
     const TimePoint deadline = Now() + settings_.stop_notice + settings_.stop_time;
     asio::post(traffic_context_, [this] { front_.BeginStop(); });
-    actor_->Post(message::StopAsked{});
+    actor_->Post(message::StopRequested{});
     Wait(settings_.stop_notice);
     asio::post(traffic_context_, [this] { front_.StopAccepting(); });
     while (Now() < deadline) {
@@ -191,9 +191,9 @@
   asio::io_context signal_context_;
   asio::signal_set stop_signals_{signal_context_, SIGTERM, SIGINT};
   Metrics metrics_;
-  Contact contact_;
-  EndingContext control_context_{1};
-  EndingContext traffic_context_{1};
+  ContactMonitor contact_;
+  DestroyableContext control_context_{1};
+  DestroyableContext traffic_context_{1};
   asio::executor_work_guard<asio::io_context::executor_type> control_work_;
   asio::executor_work_guard<asio::io_context::executor_type> traffic_work_;
   std::atomic<bool> released_{false};
@@ -203,7 +203,7 @@
   std::unique_ptr<ObjectStore> traffic_store_;
   ConfigurationChanger changer_;
   ControlShell shell_;
-  Front front_;
+  Frontend front_;
 };
 
 }  // namespace
--- a/src/rudderloom/app/fleet_daemon.cpp
+++ b/src/rudderloom/app/fleet_daemon.cpp
@@ -8,17 +8,17 @@
 #include <random>    // for random_device
 #include <thread>    // for thread
 
-#include "platform/dialect.hpp"                // for MakeDialect
-#include "platform/formats.hpp"                // for MakeFormats
-#include "platform/store.hpp"                  // for MakeStore
-#include "rudderloom/base/log_line.hpp"        // for LogLine
-#include "rudderloom/fleet/fleet_actor.hpp"    // for FleetActor
-#include "rudderloom/fleet/fleet_shell.hpp"    // for FleetShell
-#include "rudderloom/forwarding/front.hpp"     // for FleetFront
-#include "rudderloom/http/ending_context.hpp"  // for EndingContext
-#include "rudderloom/peers/holder_link.hpp"    // for HolderLink
-#include "rudderloom/settings/settings.hpp"    // for ReadFile
-#include "rudderloom/store/call_tally.hpp"     // for CallTally
+#include "platform/dialect.hpp"                     // for MakeDialect
+#include "platform/formats.hpp"                     // for MakeFormats
+#include "platform/store.hpp"                       // for MakeStore
+#include "rudderloom/base/log_line.hpp"             // for LogLine
+#include "rudderloom/fleet/fleet_actor.hpp"         // for FleetActor
+#include "rudderloom/fleet/fleet_shell.hpp"         // for FleetShell
+#include "rudderloom/forwarding/frontend.hpp"       // for FleetFrontend
+#include "rudderloom/http/destroyable_context.hpp"  // for DestroyableContext
+#include "rudderloom/peers/holder_link.hpp"         // for HolderLink
+#include "rudderloom/settings/settings.hpp"         // for ReadFile
+#include "rudderloom/store/store_call_log.hpp"      // for StoreCallLog
 
 namespace rudderloom {
 
@@ -56,10 +56,10 @@
             [this](NodeCounts counts) {
               actor_->Post(fleet_message::NodeSampled{std::move(counts)});
             },
-            [this](const std::string& holder, const SpendAsk& ask, SpendCallback done) {
+            [this](const std::string& holder, const SpendRequest& ask, SpendCallback done) {
               RequestSpend(holder, ask, std::move(done));
             },
-            [this](const std::string& granter, const PermitAsk& ask, PermitCallback done) {
+            [this](const std::string& granter, const PermitRequest& ask, PermitCallback done) {
               RequestPermit(granter, ask, std::move(done));
             }),
         shell_(control_context_,
@@ -76,8 +76,8 @@
   // members that they refer to are destroyed.
   ~FleetDaemon() {
     link_.Stop();
-    control_context_.EndCoroutines();
-    traffic_context_.EndCoroutines();
+    control_context_.DestroyCoroutines();
+    traffic_context_.DestroyCoroutines();
   }
 
   int Run() {
@@ -104,8 +104,8 @@
     control.join();
     traffic.join();
     link_.Stop();
-    control_context_.EndCoroutines();
-    traffic_context_.EndCoroutines();
+    control_context_.DestroyCoroutines();
+    traffic_context_.DestroyCoroutines();
     actor_.reset();
     LogLine("stopped").With("node", settings_.name).With("clean", clean ? "yes" : "no");
     return clean ? 0 : 1;
@@ -126,22 +126,23 @@
   // Dispatches the effects of the control state to the threads that carry them out.
   void Execute(FleetEffects effects) {
     if (effects.view) {
-      asio::post(traffic_context_,
-                 [this, view = std::move(effects.view)]() mutable { front_.Use(std::move(view)); });
+      asio::post(traffic_context_, [this, view = std::move(effects.view)]() mutable {
+        front_.SetView(std::move(view));
+      });
     }
     if (effects.statement) {
       const HolderDigest& digest = effects.statement->common;
       const bool own = digest.holder == settings_.listen.peers;
-      metrics_.Set({"rudderloom_lease_held"}, digest.holds && own ? 1.0 : 0.0);
-      metrics_.Set({"rudderloom_word_relayed"}, digest.holds && !own ? 1.0 : 0.0);
+      metrics_.Set({"rudderloom_lease_held"}, digest.is_authoritative && own ? 1.0 : 0.0);
+      metrics_.Set({"rudderloom_word_relayed"}, digest.is_authoritative && !own ? 1.0 : 0.0);
       const std::lock_guard lock(statement_mutex_);
       statement_ = std::move(effects.statement);
     }
     if (effects.followings) {
       metrics_.Set({"rudderloom_endpoints_from_holder"},
-                   effects.followings->endpoints == Following::kHolder ? 1.0 : 0.0);
+                   effects.followings->endpoints == FollowMode::kHolder ? 1.0 : 0.0);
       metrics_.Set({"rudderloom_configuration_from_holder"},
-                   effects.followings->configuration == Following::kHolder ? 1.0 : 0.0);
+                   effects.followings->configuration == FollowMode::kHolder ? 1.0 : 0.0);
     }
     if (effects.report) {
       link_.Report(effects.report->to, std::move(effects.report->counts));
@@ -156,10 +157,10 @@
   HolderLinkHooks LinkHooks() {
     HolderLinkHooks hooks;
     hooks.on_counts = [this](NodeCounts counts) {
-      actor_->Post(fleet_message::PeerCounted{std::move(counts)});
+      actor_->Post(fleet_message::PeerCountsReceived{std::move(counts)});
     };
     hooks.digest_for = [this](const NodeCounts& asking) {
-      std::shared_ptr<const Statement> statement;
+      std::shared_ptr<const DigestSource> statement;
       {
         const std::lock_guard lock(statement_mutex_);
         statement = statement_;
@@ -167,10 +168,10 @@
       return statement ? DigestFor(*statement, asking, Now()) : HolderDigest();
     };
     hooks.on_digest = [this](HolderDigest digest, const std::string& from, std::uint64_t number) {
-      actor_->Post(fleet_message::DigestHeard{std::move(digest), from, number});
+      actor_->Post(fleet_message::DigestReceived{std::move(digest), from, number});
     };
-    hooks.on_spend = [this](const SpendAsk& ask) { return AnswerSpend(ask); };
-    hooks.on_permit = [this](const PermitAsk& ask) { return AnswerPermit(ask); };
+    hooks.on_spend = [this](const SpendRequest& ask) { return AnswerSpend(ask); };
+    hooks.on_permit = [this](const PermitRequest& ask) { return AnswerPermit(ask); };
     hooks.on_failure = [this](const std::string& to, std::uint64_t number) {
       metrics_.Count({"rudderloom_holder_reports_failed_total"});
       actor_->Post(fleet_message::ReportFailed{to, number});
@@ -178,7 +179,7 @@
     return hooks;
   }
 
-  void RequestSpend(const std::string& holder, const SpendAsk& ask, SpendCallback done) {
+  void RequestSpend(const std::string& holder, const SpendRequest& ask, SpendCallback done) {
     if (holder == settings_.listen.peers) {
       done(AnswerSpend(ask));
     } else {
@@ -188,7 +189,7 @@
 
   // Decides whether a request may run, on this node or another one, if this node currently grants
   // quota: as the lease holder, or as a relay while there is no holder.
-  SpendAnswer AnswerSpend(const SpendAsk& ask) {
+  SpendAnswer AnswerSpend(const SpendRequest& ask) {
     const std::lock_guard lock(statement_mutex_);
     if (!statement_ || !statement_->grants) {
       return {};
@@ -201,7 +202,7 @@
     return answer;
   }
 
-  void RequestPermit(const std::string& granter, const PermitAsk& ask, PermitCallback done) {
+  void RequestPermit(const std::string& granter, const PermitRequest& ask, PermitCallback done) {
     if (granter == settings_.listen.peers) {
       done(AnswerPermit(ask));
     } else {
@@ -211,7 +212,7 @@
 
   // Decides whether a request may be sent to an endpoint with a limit, if this node currently
   // issues permits: as the lease holder or as its deputy.
-  PermitAnswer AnswerPermit(const PermitAsk& ask) {
+  PermitAnswer AnswerPermit(const PermitRequest& ask) {
     const std::lock_guard lock(statement_mutex_);
     PermitAnswer answer;
     if (statement_ && statement_->permits) {
@@ -282,7 +283,7 @@
     const TimePoint interrupt_at = deadline - kFinalResponseMargin;
     asio::post(traffic_context_,
                [this, interrupt_at] { front_.BeginStop(interrupt_at - kFinalResponseMargin); });
-    actor_->Post(fleet_message::StopAsked{});
+    actor_->Post(fleet_message::StopRequested{});
     Wait(kStopNotice);
     asio::post(traffic_context_, [this] { front_.StopAccepting(); });
     AwaitIdle(interrupt_at);
@@ -317,20 +318,20 @@
   asio::io_context signal_context_;
   asio::signal_set stop_signals_{signal_context_, SIGTERM, SIGINT};
   asio::signal_set reload_signals_{signal_context_, SIGHUP};
-  std::unique_ptr<Dialect> dialect_;
-  EndingContext control_context_{1};
-  EndingContext traffic_context_{1};
+  std::unique_ptr<HeaderCodec> dialect_;
+  DestroyableContext control_context_{1};
+  DestroyableContext traffic_context_{1};
   asio::executor_work_guard<asio::io_context::executor_type> control_work_;
   asio::executor_work_guard<asio::io_context::executor_type> traffic_work_;
   std::mutex statement_mutex_;
-  std::shared_ptr<const Statement> statement_;
+  std::shared_ptr<const DigestSource> statement_;
   GrantBook grants_;    // guarded by statement_mutex_
   PermitBook permits_;  // guarded by statement_mutex_
   std::atomic<bool> released_{false};
   std::unique_ptr<FleetActor> actor_;
-  CallTally tally_;  // used only on the control context's thread
+  StoreCallLog tally_;  // used only on the control context's thread
   std::unique_ptr<ObjectStore> store_;
-  FleetFront front_;
+  FleetFrontend front_;
   FleetShell shell_;
 };
 
--- a/src/rudderloom/app/main.cpp
+++ b/src/rudderloom/app/main.cpp
@@ -112,7 +112,7 @@
   if (std::holds_alternative<JsonErrors>(text)) {
     return CheckSettings(file, false);
   }
-  if (AsksForFleet(std::get<std::string>(text))) {
+  if (IsFleetSettings(std::get<std::string>(text))) {
     auto fleet = ParseFleetSettings(std::get<std::string>(text));
     return std::holds_alternative<JsonErrors>(fleet)
                ? CheckSettings(file, false)
--- a/src/rudderloom/attempts/attempts_test.cpp
+++ b/src/rudderloom/attempts/attempts_test.cpp
@@ -77,8 +77,8 @@
   const TimePoint now;
   for (const auto failure :
        {AttemptFailure::kConnect, AttemptFailure::kNotResident, AttemptFailure::kBusy,
-        AttemptFailure::kLeaving, AttemptFailure::kCutEarly, AttemptFailure::kCutMidway,
-        AttemptFailure::kTimeout, AttemptFailure::kServerError}) {
+        AttemptFailure::kLeaving, AttemptFailure::kBrokenBeforeAnswer,
+        AttemptFailure::kBrokenMidAnswer, AttemptFailure::kTimeout, AttemptFailure::kServerError}) {
     RetryPolicy policy(RetrySettings{}, 1);
     AttemptState state;
     state.repeatable = false;
@@ -134,7 +134,8 @@
   AttemptState again;
   again.deadline = now + Duration(10'000);
   again.retried_before = true;
-  CHECK(std::holds_alternative<GiveUp>(policy.Decide(AttemptFailure::kCutEarly, again, now)));
+  CHECK(std::holds_alternative<GiveUp>(
+      policy.Decide(AttemptFailure::kBrokenBeforeAnswer, again, now)));
   CHECK(std::holds_alternative<RetryAfter>(policy.Decide(AttemptFailure::kConnect, again, now)));
 }
 
--- a/src/rudderloom/attempts/retry_policy.cpp
+++ b/src/rudderloom/attempts/retry_policy.cpp
@@ -23,9 +23,9 @@
       return "busy";
     case AttemptFailure::kLeaving:
       return "leaving";
-    case AttemptFailure::kCutEarly:
+    case AttemptFailure::kBrokenBeforeAnswer:
       return "cut_early";
-    case AttemptFailure::kCutMidway:
+    case AttemptFailure::kBrokenMidAnswer:
       return "cut_midway";
     case AttemptFailure::kTimeout:
       return "timeout";
--- a/src/rudderloom/callers/call_context.cpp
+++ b/src/rudderloom/callers/call_context.cpp
@@ -24,7 +24,7 @@
 
 Refusal ToRefusal(const AdmissionRefusal& refused, bool has_endpoints) {
   Refusal refusal;
-  refusal.retry_delay = refused.come_back;
+  refusal.retry_delay = refused.retry_delay;
   switch (refused.reason) {
     case AdmissionRefusal::Reason::kQueueFull:
       refusal.reason = RefusalReason::kQueueFull;
@@ -62,7 +62,7 @@
 }
 
 AttemptFailure ClassifyFailure(const HttpFailure& failure, AttemptFailure on_disconnect) {
-  if (!failure.may_have_left) {
+  if (!failure.may_have_been_sent) {
     return AttemptFailure::kConnect;
   }
   return failure.timed_out ? AttemptFailure::kTimeout : on_disconnect;
@@ -81,7 +81,7 @@
     text += std::get<std::string>(piece);
     if (text.size() > kMaxResponseBytes) {
       HttpFailure failure;
-      failure.may_have_left = true;
+      failure.may_have_been_sent = true;
       failure.message = "the response body is too large";
       co_return failure;
     }
--- a/src/rudderloom/callers/completion_call.cpp
+++ b/src/rudderloom/callers/completion_call.cpp
@@ -163,8 +163,8 @@
     return request;
   }
 
-  CallTimes MakeTimeouts() const {
-    CallTimes timeouts;
+  CallTimeouts MakeTimeouts() const {
+    CallTimeouts timeouts;
     timeouts.connect = shared_.settings.deadlines.connect;
     const Duration between = shared_.settings.deadlines.between_tokens;
     timeouts.first_byte =
@@ -178,9 +178,9 @@
     HttpRequest request = MakeAttempt(grant);
     const TimePoint sent = Now();
     auto opened = co_await shared_.client.Open(grant.endpoint.address, std::move(request),
-                                               MakeTimeouts(), Reuse::kAllowed);
+                                               MakeTimeouts(), ConnectionReuse::kAllowed);
     if (auto* failure = std::get_if<HttpFailure>(&opened)) {
-      end.failure = ClassifyFailure(*failure, AttemptFailure::kCutEarly);
+      end.failure = ClassifyFailure(*failure, AttemptFailure::kBrokenBeforeAnswer);
       co_return end;
     }
     auto response = std::move(std::get<std::unique_ptr<HttpStream>>(opened));
@@ -243,7 +243,7 @@
     reply.headers.emplace_back(header::kRequestId, info_.request_id);
     auto body = co_await ReadFullBody(response);
     if (auto* failure = std::get_if<HttpFailure>(&body)) {
-      end.failure = ClassifyFailure(*failure, AttemptFailure::kCutMidway);
+      end.failure = ClassifyFailure(*failure, AttemptFailure::kBrokenMidAnswer);
       co_return;
     }
     reply.body = std::move(std::get<std::string>(body));
@@ -257,11 +257,11 @@
     while (true) {
       auto piece = co_await response.ReadSome();
       if (auto* failure = std::get_if<HttpFailure>(&piece)) {
-        end.failure = ClassifyFailure(*failure, AttemptFailure::kCutMidway);
+        end.failure = ClassifyFailure(*failure, AttemptFailure::kBrokenMidAnswer);
         break;
       }
       if (std::holds_alternative<HttpStream::End>(piece)) {
-        end.failure = AttemptFailure::kCutMidway;  // no end marker
+        end.failure = AttemptFailure::kBrokenMidAnswer;  // no end marker
         break;
       }
       std::string events;
@@ -271,7 +271,7 @@
         co_return;
       }
       if (verdict == EventRelay::Verdict::kGap) {
-        end.failure = AttemptFailure::kCutMidway;
+        end.failure = AttemptFailure::kBrokenMidAnswer;
         break;
       }
       if (relay_.Done()) {
--- a/src/rudderloom/callers/crash_guard.cpp
+++ b/src/rudderloom/callers/crash_guard.cpp
@@ -1,6 +1,6 @@
 #include "callers/crash_guard.hpp"
 
-#include "rudderloom/http/listening.hpp"  // for NobodyListens
+#include "rudderloom/http/connection_probe.hpp"  // for IsConnectionRefused
 
 namespace rudderloom {
 
@@ -13,7 +13,7 @@
                                std::string address,
                                std::string incarnation_key) {
   const bool process_exited =
-      co_await NobodyListens(shared.context, std::move(address), kListeningAnswer);
+      co_await IsConnectionRefused(shared.context, std::move(address), kProbeTimeout);
   if (process_exited) {
     shared.crashes.Ended(incarnation_key, Now());
   }
@@ -50,11 +50,12 @@
     shared_.crashes.Answered(Digest(), shared_.dispatcher.Current()->quarantine);
     return;
   }
-  if (*failure != AttemptFailure::kCutEarly && *failure != AttemptFailure::kCutMidway) {
+  if (*failure != AttemptFailure::kBrokenBeforeAnswer &&
+      *failure != AttemptFailure::kBrokenMidAnswer) {
     return;
   }
   const std::string incarnation_key = endpoint.name + "#" + endpoint.incarnation;
-  if (shared_.crashes.Broke(incarnation_key, Digest(), sent_at, Now())) {
+  if (shared_.crashes.RecordFailure(incarnation_key, Digest(), sent_at, Now())) {
     asio::co_spawn(shared_.context, ReportIfExited(shared_, endpoint.address, incarnation_key),
                    asio::detached);
   }
--- a/src/rudderloom/callers/dispatcher.cpp
+++ b/src/rudderloom/callers/dispatcher.cpp
@@ -34,15 +34,15 @@
   if (set == nullptr) {
     return std::nullopt;
   }
-  RouteAsk route = dispatch.route;
-  route.fills = dispatch.priority >= kMinBackgroundPriority;
+  RouteQuery route = dispatch.route;
+  route.is_background = dispatch.priority >= kMinBackgroundPriority;
   const TimePoint now = Now();
   const auto chosen = router_.Choose(*snapshot_, *set, route, now);
   if (!chosen) {
     return std::nullopt;
   }
   Grant grant{snapshot_->endpoints[*chosen], set->unit, dispatch.target, now};
-  router_.Started(grant.endpoint.id);
+  router_.RequestStarted(grant.endpoint.id);
   ++running_[grant.target];
   ++in_flight_[grant.endpoint.name];
   return grant;
@@ -55,15 +55,15 @@
       co_return std::move(*grant);
     }
   }
-  Applicant applicant;
+  QueuedRequest applicant;
   applicant.ticket = ++next_ticket_;
   applicant.target = dispatch.target;
   applicant.caller = dispatch.caller;
   applicant.priority = dispatch.priority;
   applicant.deadline = dispatch.deadline;
   const ServingSet* set = FindServingSet(dispatch);
-  const std::uint32_t capacity = set == nullptr ? 0 : router_.Room(*snapshot_, *set);
-  if (auto refused = queue_.Enter(applicant, capacity, now)) {
+  const std::uint32_t capacity = set == nullptr ? 0 : router_.AvailableShare(*snapshot_, *set);
+  if (auto refused = queue_.Enqueue(applicant, capacity, now)) {
     co_return *refused;
   }
   Waiter waiter{std::move(dispatch), Timer(context_), std::nullopt};
@@ -85,7 +85,7 @@
   if (queue_.Size() == 0) {
     return;
   }
-  for (const Applicant& late : queue_.Expire(Now())) {
+  for (const QueuedRequest& late : queue_.Expire(Now())) {
     Waiter* waiter = waiters_.at(late.ticket);
     waiters_.erase(late.ticket);
     const std::uint32_t capacity = 1;
@@ -97,7 +97,7 @@
   std::set<std::pair<std::string, std::int64_t>> full_targets;  // no free endpoint in this pass
   while (true) {
     std::optional<Grant> grant;
-    const auto next = queue_.Next([&](const Applicant& applicant) {
+    const auto next = queue_.Next([&](const QueuedRequest& applicant) {
       const DispatchRequest& dispatch = waiters_.at(applicant.ticket)->dispatch;
       const std::pair<std::string, std::int64_t> target_and_priority{applicant.target,
                                                                      applicant.priority};
@@ -131,9 +131,9 @@
 
 void Dispatcher::Release(const Grant& grant, RouteResult result, Duration first_byte) {
   const TimePoint now = Now();
-  router_.Ended(grant.endpoint.id, result, first_byte, now);
+  router_.RequestEnded(grant.endpoint.id, result, first_byte, now);
   if (result == RouteResult::kServed) {
-    queue_.Served(grant.target, Between(grant.started, now));
+    queue_.RecordServiceTime(grant.target, Between(grant.started, now));
   }
   if (--running_[grant.target] == 0) {
     running_.erase(grant.target);
--- a/src/rudderloom/callers/front.cpp
+++ b/src/rudderloom/callers/frontend.cpp
@@ -1,4 +1,4 @@
-#include "rudderloom/callers/front.hpp"
+#include "rudderloom/callers/frontend.hpp"
 
 #include <boost/json.hpp>  // for object
 
@@ -36,13 +36,13 @@
 
 }  // namespace
 
-Front::Front(asio::io_context& context,
-             const Settings& settings,
-             const std::string& incarnation,
-             ObjectStore& store,
-             const Contact& contact,
-             Metrics& metrics,
-             FrontHooks hooks)
+Frontend::Frontend(asio::io_context& context,
+                   const Settings& settings,
+                   const std::string& incarnation,
+                   ObjectStore& store,
+                   const ContactMonitor& contact,
+                   Metrics& metrics,
+                   FrontendHooks hooks)
     : context_(context),
       settings_(settings),
       contact_(contact),
@@ -64,7 +64,7 @@
                 hooks_.post(message::EndpointAnnouncedLeaving{std::move(endpoint)});
               }} {}
 
-std::string Front::Start() {
+std::string Frontend::Start() {
   HttpHandlers handlers;
   handlers.handle = [this](HttpExchange& exchange) { return Handle(exchange); };
   handlers.read_failure = [this](ReadFailure failure) {
@@ -82,18 +82,18 @@
   return settings_.callers.address + ":" + std::to_string(port);
 }
 
-void Front::Use(SnapshotPtr snapshot) {
+void Frontend::UpdateSnapshot(SnapshotPtr snapshot) {
   asio::post(context_, [this, snapshot = std::move(snapshot)]() mutable {
     dispatcher_.UpdateSnapshot(std::move(snapshot));
   });
 }
 
-void Front::BeginStop() {
+void Frontend::BeginStop() {
   stopping_ = true;
   server_->CloseAfterAnswers();
 }
 
-Awaitable<void> Front::SampleLoop() {
+Awaitable<void> Frontend::SampleLoop() {
   while (true) {
     Timer pause(context_, kSampleInterval);
     co_await pause.async_wait(kAsTuple);
@@ -107,17 +107,17 @@
 }
 
 // Returns why this node can't serve requests at present; empty if it can.
-std::optional<RefusalReason> Front::UnavailableReason() const {
+std::optional<RefusalReason> Frontend::UnavailableReason() const {
   if (!dispatcher_.Current()->ready) {
     return RefusalReason::kNotReady;
   }
-  if (contact_.Lost(Now(), settings_.membership.unconfirmed_limit)) {
+  if (contact_.IsStale(Now(), settings_.membership.unconfirmed_limit)) {
     return RefusalReason::kIsolated;
   }
   return std::nullopt;
 }
 
-Reply Front::Readiness() const {
+Reply Frontend::Readiness() const {
   const auto reason = UnavailableReason();
   if (!stopping_ && !reason) {
     return TextReply(200, "application/json", R"({"ready":true})");
@@ -127,7 +127,7 @@
                    json::serialize(json::object{{"ready", false}, {"reason", name}}));
 }
 
-Awaitable<void> Front::Handle(HttpExchange& exchange) {
+Awaitable<void> Frontend::Handle(HttpExchange& exchange) {
   std::string target(exchange.Request().target());
   const std::string path = target.substr(0, target.find('?'));
   if (path == "/healthz") {
@@ -141,7 +141,7 @@
   }
 }
 
-Awaitable<void> Front::HandleCall(HttpExchange& exchange, std::string path) {
+Awaitable<void> Frontend::HandleCall(HttpExchange& exchange, std::string path) {
   std::string request_id = GetRequestId(exchange.Request());
   const bool chat = path == "/v1/chat/completions";
   const bool completion = chat || path == "/v1/completions";
@@ -183,7 +183,7 @@
   }
 }
 
-Awaitable<void> Front::ListModels(HttpExchange& exchange, std::string request_id) {
+Awaitable<void> Frontend::ListModels(HttpExchange& exchange, std::string request_id) {
   json::array data;
   for (const auto& [name, set] : dispatcher_.Current()->models) {
     data.push_back(json::object{
--- a/src/rudderloom/callers/service_call.cpp
+++ b/src/rudderloom/callers/service_call.cpp
@@ -189,17 +189,17 @@
   Awaitable<std::optional<AttemptFailure>> Attempt(const Grant& grant) {
     HttpRequest request = MakeAttempt(grant);
     const Duration left = std::max(Duration(1), Between(Now(), info_.deadline));
-    CallTimes timeouts;
+    CallTimeouts timeouts;
     timeouts.connect = std::min(left, shared_.settings.deadlines.connect);
     timeouts.first_byte = left;
     timeouts.between = left;
     const TimePoint sent = Now();
     // On a reused connection, a disconnect does not show whether the endpoint has read the request.
-    const Reuse reuse = repeatable_ ? Reuse::kAllowed : Reuse::kNever;
+    const ConnectionReuse reuse = repeatable_ ? ConnectionReuse::kAllowed : ConnectionReuse::kNever;
     auto opened =
         co_await shared_.client.Open(grant.endpoint.address, std::move(request), timeouts, reuse);
     if (auto* failed = std::get_if<HttpFailure>(&opened)) {
-      const AttemptFailure failure = ClassifyFailure(*failed, AttemptFailure::kCutEarly);
+      const AttemptFailure failure = ClassifyFailure(*failed, AttemptFailure::kBrokenBeforeAnswer);
       shared_.dispatcher.Release(grant, RouteResult::kFailed, Duration(0));
       co_return failure;
     }
@@ -214,7 +214,7 @@
     std::optional<HttpFailure> body_failure = co_await ReadBody(*response, reply);
     if (body_failure) {
       shared_.dispatcher.Release(grant, RouteResult::kFailed, first_byte);
-      co_return ClassifyFailure(*body_failure, AttemptFailure::kCutMidway);
+      co_return ClassifyFailure(*body_failure, AttemptFailure::kBrokenMidAnswer);
     }
     shared_.dispatcher.Release(grant, RouteResult::kServed, first_byte);
     shared_.client.Release(grant.endpoint.address, std::move(response));
--- a/src/rudderloom/claims/claim_keeper.cpp
+++ b/src/rudderloom/claims/claim_keeper.cpp
@@ -218,9 +218,9 @@
   object.writers = shard.writers;
   object.spec = book.ToJson();
   const std::string token = incarnation_ + "/w" + std::to_string(++sequence_);
-  const SettleTimes times{kSettleLimit, kSettlePause};
-  auto written = co_await PutSettled(context_, store_, std::string(object_kind::kClaims),
-                                     std::move(object), token, times);
+  const ConfirmTimes times{kSettleLimit, kSettlePause};
+  auto written = co_await PutAndConfirm(context_, store_, std::string(object_kind::kClaims),
+                                        std::move(object), token, times);
   shard.committing_count = 0;
   if (auto* stored = std::get_if<StoredObject>(&written)) {
     // After a lost answer, the stored object may already include later writes of other nodes.
--- a/src/rudderloom/control/control_actor.cpp
+++ b/src/rudderloom/control/control_actor.cpp
@@ -21,7 +21,7 @@
 RUDDERLOOM_LOCAL_MESSAGE(EndpointAnnouncedLeaving)
 RUDDERLOOM_LOCAL_MESSAGE(TrafficSampled)
 RUDDERLOOM_LOCAL_MESSAGE(Tick)
-RUDDERLOOM_LOCAL_MESSAGE(StopAsked)
+RUDDERLOOM_LOCAL_MESSAGE(StopRequested)
 #undef RUDDERLOOM_LOCAL_MESSAGE
 
 namespace rudderloom {
@@ -89,7 +89,7 @@
       k.Handler<message::EndpointAnnouncedLeaving>(),
       k.Handler<message::TrafficSampled>(),
       k.Handler<message::Tick>(),
-      k.Handler<message::StopAsked>(),
+      k.Handler<message::StopRequested>(),
   };
 }
 
--- a/src/rudderloom/control/control_shell.cpp
+++ b/src/rudderloom/control/control_shell.cpp
@@ -18,7 +18,7 @@
 constexpr Duration kConfirmInterval{1'000};
 constexpr Duration kMaxTimeSinceContact{2'000};
 constexpr Duration kUnregisterTimeout{1'000};
-constexpr SettleTimes kPoolSettleTimes{Duration(1'500), Duration(100)};
+constexpr ConfirmTimes kPoolSettleTimes{Duration(1'500), Duration(100)};
 
 NodeState ParseNode(const StoredObject& object) {
   NodeState node;
@@ -36,7 +36,7 @@
                            std::string incarnation,
                            std::string peers_address,
                            ObjectStore& store,
-                           Contact& contact,
+                           ContactMonitor& contact,
                            Metrics& metrics,
                            std::function<void(message::Any)> post)
     : context_(context),
@@ -119,8 +119,8 @@
                  asio::detached);
   const auto on_pool = [this](const StoredObject& object) {
     if (auto record = PoolRecordFromJson(object.spec)) {
-      post_(
-          message::PoolSeen{object.name, std::move(*record), object.version, PoolSight::kWatched});
+      post_(message::PoolSeen{object.name, std::move(*record), object.version,
+                              PoolReadKind::kWatched});
     }
   };
   asio::co_spawn(context_,
@@ -165,7 +165,7 @@
         co_await PauseFor(context_, backoff.Next());
         continue;
       }
-      contact_.Heard(Now());
+      contact_.RecordContact(Now());
       const ObjectList& list = std::get<ObjectList>(listed);
       version = list.version;
       on_list(list);
@@ -173,7 +173,7 @@
     }
     const TimePoint started = Now();
     const StoreError ended = co_await store_.Watch(name, *version, [&](const WatchEvent& event) {
-      contact_.Heard(Now());
+      contact_.RecordContact(Now());
       version = event.object.version;
       if (event.kind != WatchEvent::Kind::kBookmark) {
         on_event(event);
@@ -238,15 +238,15 @@
     }
     auto fetched = co_await store_.Get(std::string(object_kind::kConfigurations), "current");
     if (auto* object = std::get_if<StoredObject>(&fetched)) {
-      contact_.Heard(Now());
+      contact_.RecordContact(Now());
       PostConfiguration(*object);
     } else if (std::get<StoreError>(fetched).kind == StoreError::Kind::kNotFound) {
-      contact_.Heard(Now());
+      contact_.RecordContact(Now());
     }
   }
 }
 
-void ControlShell::Reported(std::shared_ptr<const NodeReport> report) {
+void ControlShell::UpdateReport(std::shared_ptr<const NodeReport> report) {
   asio::post(context_, [this, report = std::move(report)] { report_ = report; });
 }
 
@@ -280,8 +280,9 @@
 
 Awaitable<void> ControlShell::Poll(std::string name, std::string address, bool service) {
   HttpRequest request = MakeRequest(http::verb::get, address, "/load");
-  const CallTimes times{kPollTimeout, kPollTimeout, kPollTimeout};
-  auto answer = co_await client_.Call(address, std::move(request), times, Reuse::kAllowed);
+  const CallTimeouts times{kPollTimeout, kPollTimeout, kPollTimeout};
+  auto answer =
+      co_await client_.Call(address, std::move(request), times, ConnectionReuse::kAllowed);
   message::EndpointPolled polled;
   polled.name = name;
   polled.address = address;
@@ -333,8 +334,8 @@
   object.writers = pool_writers_[write.pool];
   object.spec = ToJson(write.record);
   const std::string token = incarnation_ + "/p" + std::to_string(++write_count_);
-  auto written = co_await PutSettled(context_, store_, std::string(object_kind::kPools),
-                                     std::move(object), token, kPoolSettleTimes);
+  auto written = co_await PutAndConfirm(context_, store_, std::string(object_kind::kPools),
+                                        std::move(object), token, kPoolSettleTimes);
   message::PoolCallEnded ended;
   ended.pool = write.pool;
   const auto* stored = std::get_if<StoredObject>(&written);
@@ -343,7 +344,7 @@
   const bool is_latest_writer =
       stored != nullptr && (stored->writers.empty() || stored->writers.front() == token);
   if (is_latest_writer) {
-    contact_.Heard(Now());
+    contact_.RecordContact(Now());
     pool_writers_[write.pool] = stored->writers;
     ended.result = message::PoolCallEnded::Result::kWritten;
     ended.version = stored->version.value_or(StoreRevision());
@@ -361,12 +362,12 @@
   if (auto* object = std::get_if<StoredObject>(&fetched)) {
     if (auto record = PoolRecordFromJson(object->spec)) {
       pool_writers_[read.pool] = object->writers;
-      post_(message::PoolSeen{read.pool, std::move(*record), object->version, PoolSight::kRead});
+      post_(message::PoolSeen{read.pool, std::move(*record), object->version, PoolReadKind::kRead});
       co_return;
     }
     LogLine("pool_record_unreadable", Severity::kError).With("pool", read.pool);
   } else if (std::get<StoreError>(fetched).kind == StoreError::Kind::kNotFound) {
-    post_(message::PoolSeen{read.pool, PoolRecord(), std::nullopt, PoolSight::kRead});
+    post_(message::PoolSeen{read.pool, PoolRecord(), std::nullopt, PoolReadKind::kRead});
     co_return;
   }
   co_await PauseFor(context_, settings_.platform.backoff_least);
--- a/src/rudderloom/control/control_state.cpp
+++ b/src/rudderloom/control/control_state.cpp
@@ -47,7 +47,7 @@
 }
 
 void ControlState::On(const message::EndpointsListed& listed, TimePoint) {
-  endpoints_.Listed(listed.specs);
+  endpoints_.ApplyList(listed.specs);
   endpoints_listed_ = true;
   dirty_ = true;
 }
@@ -58,17 +58,17 @@
 }
 
 void ControlState::On(const message::EndpointRemoved& removed, TimePoint) {
-  endpoints_.Gone(removed.name);
+  endpoints_.Remove(removed.name);
   dirty_ = true;
 }
 
 void ControlState::On(const message::NodesListed& listed, TimePoint) {
-  members_.Listed(listed.nodes);
+  members_.ApplyList(listed.nodes);
   nodes_listed_ = true;
 }
 
 void ControlState::On(const message::PoolSeen& seen, TimePoint now) {
-  FindOrCreateKeeper(seen.pool).Seen(seen.record, seen.version, seen.sight, now);
+  FindOrCreateKeeper(seen.pool).ApplyRead(seen.record, seen.version, seen.sight, now);
   dirty_ = true;
 }
 
@@ -76,7 +76,7 @@
   PoolKeeper& keeper = FindOrCreateKeeper(ended.pool);
   switch (ended.result) {
     case message::PoolCallEnded::Result::kWritten:
-      keeper.Written(ended.version, now);
+      keeper.OnWriteSucceeded(ended.version, now);
       dirty_ = true;
       break;
     case message::PoolCallEnded::Result::kWriteFailed:
@@ -100,7 +100,7 @@
   const bool was_usable = EndpointTable::Usable(found->second);
   const LoadReport before = found->second.report;
   if (polled.report) {
-    endpoints_.Reported(polled.name, *polled.report, now);
+    endpoints_.ApplyReport(polled.name, *polled.report, now);
   } else {
     endpoints_.PollFailed(polled.name);
   }
@@ -111,19 +111,19 @@
 }
 
 void ControlState::On(const message::HeartbeatReceived& heard, TimePoint now) {
-  members_.Heard(heard.state, now);
+  members_.RecordHeartbeat(heard.state, now);
   for (const NodeDigest& digest : heard.digests) {
-    members_.HeardOf(digest, now);
+    members_.RecordRelayedHeartbeat(digest, now);
   }
   for (const std::string& leaving : heard.state.leaving) {
-    endpoints_.SaidLeaving(leaving);
+    endpoints_.MarkLeaving(leaving);
   }
   MergeCrashNews(heard.state.crash_news, now);
   dirty_ = true;  // the in-flight counts of a peer may have changed
 }
 
 void ControlState::On(const message::EndpointAnnouncedLeaving& said, TimePoint) {
-  dirty_ = endpoints_.SaidLeaving(said.endpoint_and_incarnation) || dirty_;
+  dirty_ = endpoints_.MarkLeaving(said.endpoint_and_incarnation) || dirty_;
 }
 
 // Each node counts crashes itself and forwards only news that it did not know. News that all nodes
@@ -154,7 +154,7 @@
   }
 }
 
-void ControlState::On(const message::StopAsked&, TimePoint) {
+void ControlState::On(const message::StopRequested&, TimePoint) {
   stopping_ = true;
   for (auto& [pool, keeper] : keepers_) {
     keeper.Stop();
@@ -258,7 +258,7 @@
     endpoint.resident = state.report.resident;
     view.endpoints.push_back(std::move(endpoint));
   }
-  view.quiet = [this, pool, now](const std::string& incarnation, std::uint64_t epoch) {
+  view.is_silent = [this, pool, now](const std::string& incarnation, std::uint64_t epoch) {
     if (!nodes_listed_) {
       return false;
     }
@@ -428,7 +428,7 @@
   self.crash_news = news_log_.Current(now);
   report->released = true;
   for (const auto& [pool, keeper] : keepers_) {
-    self.quiet_epochs[pool] = keeper.QuietEpoch();
+    self.quiet_epochs[pool] = keeper.OldestOrderEpoch();
     report->pools[pool] = keeper.Stored();
     report->released = report->released && keeper.Released();
     if (keeper.Holds(now)) {
--- a/src/rudderloom/control/order_sender.cpp
+++ b/src/rudderloom/control/order_sender.cpp
@@ -52,15 +52,16 @@
                           {"memory", order.memory}};
   HttpRequest request =
       MakeRequest(http::verb::post, order.address, "/orders", json::serialize(body));
-  CallTimes times;
+  CallTimeouts times;
   times.first_byte = order_timeout_;
   // The lease may have changed hands while the order was queued.
   if (Now() >= order.valid_until) {
     co_return OrderOutcome::kNotSent;
   }
-  auto answer = co_await client_.Call(order.address, std::move(request), times, Reuse::kNever);
+  auto answer =
+      co_await client_.Call(order.address, std::move(request), times, ConnectionReuse::kNever);
   if (auto* failure = std::get_if<HttpFailure>(&answer)) {
-    co_return failure->may_have_left ? OrderOutcome::kUnknown : OrderOutcome::kNotSent;
+    co_return failure->may_have_been_sent ? OrderOutcome::kUnknown : OrderOutcome::kNotSent;
   }
   co_return ToOutcome(std::get<HttpResponse>(answer).result_int());
 }
--- a/src/rudderloom/dissemination/statement.cpp
+++ b/src/rudderloom/dissemination/digest_source.cpp
@@ -1,4 +1,4 @@
-#include "rudderloom/dissemination/statement.hpp"
+#include "rudderloom/dissemination/digest_source.hpp"
 
 namespace rudderloom {
 
@@ -6,10 +6,10 @@
 
 // A relay at its maximum number of members sends further nodes back to the holder. Other relays are
 // never refused: they ask only while there is no holder.
-bool Refuses(const Statement& statement, const NodeCounts& asking) {
+bool Refuses(const DigestSource& statement, const NodeCounts& asking) {
   const auto& members = statement.loads.by_node;
-  return asking.stands_for == 1 && statement.most_members &&
-         members.size() >= *statement.most_members && !members.contains(asking.node);
+  return asking.represented_nodes == 1 && statement.max_members &&
+         members.size() >= *statement.max_members && !members.contains(asking.node);
 }
 
 // A relay with 10 Mbit/s sends this many routes of 125 bytes (fleet_codec_test) to 16 nodes in half
@@ -49,7 +49,8 @@
 }
 
 // Empty if the asking node is up to date, which is by far the most common case.
-std::optional<QuarantineTable> QuarantineFor(const Statement& statement, const NodeCounts& asking) {
+std::optional<QuarantineTable> QuarantineFor(const DigestSource& statement,
+                                             const NodeCounts& asking) {
   const std::uint64_t version = statement.quarantine ? statement.quarantine->version : 0;
   if (version == asking.quarantine_seen) {
     return std::nullopt;
@@ -57,7 +58,7 @@
   return statement.quarantine ? *statement.quarantine : QuarantineTable();
 }
 
-std::optional<LimitTable> LimitsFor(const Statement& statement, const NodeCounts& asking) {
+std::optional<LimitTable> LimitsFor(const DigestSource& statement, const NodeCounts& asking) {
   return statement.limits.version == asking.limits_seen ? std::nullopt
                                                         : std::optional(statement.limits);
 }
@@ -65,11 +66,11 @@
 // A node of a software version without eras is assumed to be in the current era, as it assumes
 // itself.
 StoreRevision SeenRevision(const NodeCounts& asking, const EndpointLog& log) {
-  return asking.tells_era ? asking.endpoints_seen
-                          : StoreRevision(log.Version().Era(), asking.endpoints_seen.Number());
+  return asking.has_era ? asking.endpoints_seen
+                        : StoreRevision(log.Version().Era(), asking.endpoints_seen.Number());
 }
 
-HolderDigest HolderOnlyDigest(const Statement& statement) {
+HolderDigest HolderOnlyDigest(const DigestSource& statement) {
   HolderDigest digest;
   digest.holder = statement.common.holder;
   digest.epoch = statement.common.epoch;
@@ -79,7 +80,7 @@
 
 }  // namespace
 
-void MakeOlder(HolderDigest& digest, Duration transit_time) {
+void AddTransitTime(HolderDigest& digest, Duration transit_time) {
   digest.age += transit_time;
   if (digest.endpoints_age) {
     *digest.endpoints_age += transit_time;
@@ -89,8 +90,8 @@
   }
 }
 
-HolderDigest DigestFor(const Statement& statement, const NodeCounts& asking, TimePoint now) {
-  if (!statement.common.holds || Refuses(statement, asking)) {
+HolderDigest DigestFor(const DigestSource& statement, const NodeCounts& asking, TimePoint now) {
+  if (!statement.common.is_authoritative || Refuses(statement, asking)) {
     return HolderOnlyDigest(statement);
   }
   HolderDigest digest = statement.common;
--- a/src/rudderloom/dissemination/statement_test.cpp
+++ b/src/rudderloom/dissemination/digest_source_test.cpp
@@ -1,4 +1,4 @@
-#include "rudderloom/dissemination/statement.hpp"
+#include "rudderloom/dissemination/digest_source.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
 
@@ -19,9 +19,9 @@
 }
 
 // A statement with one endpoint, confirmed by the store at 100 ms.
-Statement MakeStatement() {
-  Statement statement;
-  statement.common.holds = true;
+DigestSource MakeStatement() {
+  DigestSource statement;
+  statement.common.is_authoritative = true;
   statement.common.epoch = 3;
   statement.common.holder = "h1";
   statement.made_at = At(200);
@@ -43,7 +43,7 @@
 }
 
 TEST_CASE("a node that is redirected to a relay receives no lists from the holder") {
-  Statement statement = MakeStatement();
+  DigestSource statement = MakeStatement();
   std::vector<ReportingNode> nodes;
   for (const char* name : {"n1", "n2", "n3", "n4"}) {
     nodes.push_back({name, std::string(name) + ":1", "z", 1.0, 1});
@@ -63,7 +63,7 @@
 
 TEST_CASE("a digest contains only the loads of units that the asking node reports") {
   const UnitName reported{"pool", "m", "a1"};
-  Statement statement = MakeStatement();
+  DigestSource statement = MakeStatement();
   statement.common.loads_due = {{reported, {Duration(900), 3}},
                                 {{"pool", "n", ""}, {Duration(700), 1}}};
   NodeCounts asking = Asking("n1");
@@ -74,13 +74,13 @@
 }
 
 TEST_CASE("a relay refuses nodes beyond its maximum and keeps its members") {
-  Statement statement = MakeStatement();
-  statement.most_members = 2;
+  DigestSource statement = MakeStatement();
+  statement.max_members = 2;
   statement.loads.Add("self", std::make_shared<const LoadTable>());
   statement.loads.Add("n1", std::make_shared<const LoadTable>());
-  CHECK(DigestFor(statement, Asking("n1"), At(500)).holds);
+  CHECK(DigestFor(statement, Asking("n1"), At(500)).is_authoritative);
   const HolderDigest refused = DigestFor(statement, Asking("n2"), At(500));
-  CHECK_FALSE(refused.holds);
+  CHECK_FALSE(refused.is_authoritative);
   CHECK(refused.holder == "h1");
   CHECK(refused.epoch == 3);
 }
@@ -94,7 +94,7 @@
     auto configuration = std::make_shared<ConfigurationLog>();
     configuration->Offer(
         std::make_shared<const RouteTable>(7, added, std::vector<ServiceSpec>{}, ClientLimits{}));
-    Statement statement = MakeStatement();
+    DigestSource statement = MakeStatement();
     statement.common.routes_version = 7;
     statement.configuration = configuration;
     statement.configuration_confirmed_at = At(100);
@@ -106,10 +106,10 @@
 }
 
 TEST_CASE("a node without a digest returns the last known holder") {
-  Statement statement = MakeStatement();
-  statement.common.holds = false;
+  DigestSource statement = MakeStatement();
+  statement.common.is_authoritative = false;
   const HolderDigest digest = DigestFor(statement, Asking("n1"), At(500));
-  CHECK_FALSE(digest.holds);
+  CHECK_FALSE(digest.is_authoritative);
   CHECK(digest.holder == "h1");
   CHECK(digest.endpoints.values.empty());
 }
--- a/src/rudderloom/dissemination/group_counts.cpp
+++ b/src/rudderloom/dissemination/group_counts.cpp
@@ -12,13 +12,13 @@
   }
 }
 
-void GroupCounts::CountedSelf(const NodeCounts& counts) {
+void GroupCounts::RecordOwn(const NodeCounts& counts) {
   AddOffered(counts);
   own_ = counts;
 }
 
-void GroupCounts::Counted(const NodeCounts& counts, TimePoint now) {
-  if (counts.stands_for > 1) {
+void GroupCounts::RecordMember(const NodeCounts& counts, TimePoint now) {
+  if (counts.represented_nodes > 1) {
     members_.erase(counts.node);
     return;
   }
@@ -34,7 +34,7 @@
     return std::nullopt;
   }
   std::erase_if(members_,
-                [&](const auto& entry) { return !CountsFresh(entry.second.heard_at, now); });
+                [&](const auto& entry) { return !AreCountsCurrent(entry.second.heard_at, now); });
   NodeCounts sum = *own_;
   for (auto& [unit, count] : sum.units) {
     count.offered = Duration(0);
@@ -48,7 +48,7 @@
       summed.running += count.running;
       summed.waiting += count.waiting;
     }
-    ++sum.stands_for;
+    ++sum.represented_nodes;
   }
   for (const auto& [unit, offered] : offered_) {
     sum.units[unit].offered += offered;
@@ -64,7 +64,7 @@
     sums.Add(own_->node, std::make_shared<const LoadTable>(own_->loads));
   }
   for (const auto& [name, member] : members_) {
-    if (CountsFresh(member.heard_at, now)) {
+    if (AreCountsCurrent(member.heard_at, now)) {
       sums.Add(name, member.loads);
     }
   }
@@ -72,8 +72,9 @@
 }
 
 bool GroupCounts::HasMembers(TimePoint now) const {
-  return std::any_of(members_.begin(), members_.end(),
-                     [&](const auto& entry) { return CountsFresh(entry.second.heard_at, now); });
+  return std::any_of(members_.begin(), members_.end(), [&](const auto& entry) {
+    return AreCountsCurrent(entry.second.heard_at, now);
+  });
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/dissemination/roster.cpp
+++ b/src/rudderloom/dissemination/roster.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-std::uint32_t MostMembers(std::uint32_t group_size) {
+std::uint32_t MaxRelayMembers(std::uint32_t group_size) {
   return group_size + group_size / 2;
 }
 
@@ -51,10 +51,10 @@
   std::uint32_t fleet_size = 0;
   std::map<std::string, std::uint32_t> zone_sizes;
   for (const ReportingNode& node : nodes) {
-    fleet_size += node.stands_for;
-    zone_sizes[node.availability_zone] += node.stands_for;
+    fleet_size += node.represented_nodes;
+    zone_sizes[node.availability_zone] += node.represented_nodes;
   }
-  if (fleet_size <= MostMembers(group_size_)) {
+  if (fleet_size <= MaxRelayMembers(group_size_)) {
     return;
   }
   for (const ReportingNode& node : nodes) {
@@ -69,7 +69,7 @@
 
 std::string Roster::RelayFor(const NodeCounts& asking) const {
   // A relay that is no longer selected stays a relay while others report to it.
-  if (asking.stands_for > 1 || IsRelay(asking.node)) {
+  if (asking.represented_nodes > 1 || IsRelay(asking.node)) {
     return "";
   }
   const auto zone = relays_by_zone_.find(asking.availability_zone);
--- a/src/rudderloom/dissemination/roster_test.cpp
+++ b/src/rudderloom/dissemination/roster_test.cpp
@@ -20,7 +20,7 @@
   NodeCounts counts;
   counts.node = node.name;
   counts.availability_zone = node.availability_zone;
-  counts.stands_for = node.stands_for;
+  counts.represented_nodes = node.represented_nodes;
   return counts;
 }
 
@@ -64,7 +64,7 @@
     CHECK(roster.IsRelay(nodes[static_cast<std::size_t>(i)].name));
   }
   for (const auto& [relay, count] : members) {
-    CHECK(count <= static_cast<int>(MostMembers(kGroupSize)));
+    CHECK(count <= static_cast<int>(MaxRelayMembers(kGroupSize)));
   }
 }
 
@@ -116,7 +116,7 @@
   std::vector<ReportingNode> nodes;
   for (int i = 0; i < 18; ++i) {
     nodes.push_back(MakeNode(i, i % 6, 0.5));
-    nodes.back().stands_for = 16;
+    nodes.back().represented_nodes = 16;
   }
   Roster roster(kGroupSize);
   roster.Update(nodes);
@@ -131,7 +131,7 @@
   Roster roster(kGroupSize);
   roster.Update(nodes);
   ReportingNode deselected = MakeNode(900, 2, 0.12);
-  deselected.stands_for = 9;
+  deselected.represented_nodes = 9;
   CHECK(roster.RelayFor(CountsOf(deselected)).empty());
 }
 
--- a/src/rudderloom/dissemination/source_choice.cpp
+++ b/src/rudderloom/dissemination/source_choice.cpp
@@ -24,14 +24,14 @@
   return std::chrono::duration_cast<Duration>(duration * factor);
 }
 
-Duration MaxAgeFor(NodeDuty duty, Duration max_age) {
+Duration MaxAgeFor(NodeRole duty, Duration max_age) {
   switch (duty) {
-    case NodeDuty::kStandby:
+    case NodeRole::kStandby:
       return ScaleDuration(max_age, kStandbyAgeFraction);
-    case NodeDuty::kRelay:
+    case NodeRole::kRelay:
       return ScaleDuration(max_age, kRelayAgeFraction);
-    case NodeDuty::kNone:
-    case NodeDuty::kHolder:
+    case NodeRole::kNone:
+    case NodeRole::kHolder:
       return max_age;
   }
   return max_age;
@@ -39,39 +39,39 @@
 
 }  // namespace
 
-std::string_view NameOf(Following following) {
+std::string_view NameOf(FollowMode following) {
   switch (following) {
-    case Following::kStore:
+    case FollowMode::kStore:
       return "store";
-    case Following::kStoreOnce:
+    case FollowMode::kStoreOnce:
       return "store_once";
-    case Following::kForOthers:
+    case FollowMode::kStoreForOthers:
       return "store_for_others";
-    case Following::kHolder:
+    case FollowMode::kHolder:
       return "holder";
   }
   return "unknown";
 }
 
-SourceChoice::SourceChoice(Duration max_age, StartKind start, double spread)
+SourceSelector::SourceSelector(Duration max_age, StartKind start, double spread)
     : max_age_(max_age),
       start_(start),
       initial_wait_(max_age + ScaleDuration(max_age, spread * kInitialWaitSpread)) {}
 
-std::optional<TimePoint> SourceChoice::ConfirmedAt() const {
+std::optional<TimePoint> SourceSelector::ConfirmedAt() const {
   if (!confirmed_at_ || !digest_confirmed_at_) {
     return confirmed_at_ ? confirmed_at_ : digest_confirmed_at_;
   }
   return std::max(*confirmed_at_, *digest_confirmed_at_);
 }
 
-void SourceChoice::NotTold() {
+void SourceSelector::NotInDigest() {
   may_wait_ = false;
   fresh_since_.reset();
   digest_confirmed_at_.reset();
 }
 
-void SourceChoice::Heard(Duration age, TimePoint now) {
+void SourceSelector::RecordDigest(Duration age, TimePoint now) {
   if (!DigestIsFresh(max_age_, now)) {
     fresh_since_.reset();
   }
@@ -81,38 +81,38 @@
   }
 }
 
-bool SourceChoice::DigestIsFresh(Duration max_age, TimePoint now) const {
+bool SourceSelector::DigestIsFresh(Duration max_age, TimePoint now) const {
   return digest_confirmed_at_ && now - *digest_confirmed_at_ <= max_age;
 }
 
 // True from the start until digests have been fresh for long enough or failed to arrive in time.
-bool SourceChoice::WaitsForFirstDigest(TimePoint now) {
+bool SourceSelector::WaitsForFirstDigest(TimePoint now) {
   started_at_ = started_at_.value_or(now);
   const bool fresh = DigestIsFresh(max_age_, now);
   may_wait_ = may_wait_ && (fresh || now - *started_at_ < initial_wait_);
   return may_wait_;
 }
 
-Following SourceChoice::Choose(NodeDuty duty, TimePoint now) {
+FollowMode SourceSelector::Choose(NodeRole duty, TimePoint now) {
   if (max_age_ < kMinUsefulMaxAge) {
-    return Following::kStore;
+    return FollowMode::kStore;
   }
-  if (duty == NodeDuty::kHolder) {
+  if (duty == NodeRole::kHolder) {
     fresh_since_.reset();
     may_wait_ = false;
-    return Following::kForOthers;
+    return FollowMode::kStoreForOthers;
   }
   if (!DigestIsFresh(MaxAgeFor(duty, max_age_), now)) {
     fresh_since_.reset();
   }
   if (fresh_since_ && now - *fresh_since_ >= kMinFreshTime) {
     may_wait_ = false;
-    return Following::kHolder;
+    return FollowMode::kHolder;
   }
   if (WaitsForFirstDigest(now)) {
-    return start_ == StartKind::kFirst ? Following::kHolder : Following::kStoreOnce;
+    return start_ == StartKind::kFirst ? FollowMode::kHolder : FollowMode::kStoreOnce;
   }
-  return duty == NodeDuty::kNone ? Following::kStore : Following::kForOthers;
+  return duty == NodeRole::kNone ? FollowMode::kStore : FollowMode::kStoreForOthers;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/dissemination/upstream.cpp
+++ b/src/rudderloom/dissemination/upstream.cpp
@@ -23,15 +23,15 @@
   }
 }
 
-void Upstream::HolderSeen(const std::string& address, std::uint64_t epoch) {
+void Upstream::ObserveHolder(const std::string& address, std::uint64_t epoch) {
   UpdateHolder(address, epoch);
 }
 
-bool Upstream::Answered(const std::string& from, const HolderDigest& digest, TimePoint now) {
+bool Upstream::HandleAnswer(const std::string& from, const HolderDigest& digest, TimePoint now) {
   const bool asked = !from.empty() && from == Address();
   const std::uint64_t known_epoch = epoch_;
   UpdateHolder(digest.holder, digest.epoch);
-  const bool valid = digest.holds && digest.age <= kOldestWord &&
+  const bool valid = digest.is_authoritative && digest.age <= kMaxDigestAge &&
                      (from == digest.holder || (!relay_.empty() && from == relay_));
   if (!asked) {
     return valid;
@@ -56,7 +56,7 @@
   }
 }
 
-void Upstream::Failed(const std::string& from, TimePoint now) {
+void Upstream::HandleFailure(const std::string& from, TimePoint now) {
   if (!relay_.empty() && from == relay_) {
     DropRelay(now);
   } else if (from == Address()) {
--- a/src/rudderloom/endpoint_limits/limit_exchange.cpp
+++ b/src/rudderloom/endpoint_limits/limit_exchange.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-SentLimits WithAges(const EndpointLimits& limits, TimePoint now) {
+SentLimits ToSentLimits(const EndpointLimits& limits, TimePoint now) {
   SentLimits sent;
   for (const auto& [endpoint, limit] : limits) {
     const Duration age = std::max(Duration(0), Between(limit.observed_at, now));
@@ -42,7 +42,7 @@
 }
 
 SentLimits LimitExchange::ToReport(TimePoint now) const {
-  return WithAges(observed_.Since(now - kReportTime), now);
+  return ToSentLimits(observed_.Since(now - kReportTime), now);
 }
 
 void LimitExchange::Received(const LimitTable& table, TimePoint sent_at) {
@@ -62,7 +62,7 @@
   if (known_.All().empty()) {
     return {};
   }
-  return {version_, WithAges(known_.All(), sent_at)};
+  return {version_, ToSentLimits(known_.All(), sent_at)};
 }
 
 void LimitExchange::Expire(const std::function<bool(EndpointKey)>& listed, TimePoint now) {
--- a/src/rudderloom/endpoint_limits/limit_watch.cpp
+++ b/src/rudderloom/endpoint_limits/limit_watch.cpp
@@ -65,21 +65,21 @@
   return known == book_.All().end() ? std::nullopt : known->second.requests_per_second;
 }
 
-LimitStanding LimitWatch::StandingOf(EndpointKey endpoint,
-                                     std::uint32_t live_nodes,
-                                     TimePoint now) const {
+LimitState LimitWatch::LimitStateOf(EndpointKey endpoint,
+                                    std::uint32_t live_nodes,
+                                    TimePoint now) const {
   const auto known = book_.All().find(endpoint);
   if (known == book_.All().end() || !known->second.requests_per_second) {
-    return LimitStanding::kUnlimited;
+    return LimitState::kUnlimited;
   }
   const auto refused = refused_.find(endpoint);
   if (refused != refused_.end() && now < refused->second.paused_until) {
-    return LimitStanding::kRefused;
+    return LimitState::kRefused;
   }
   const auto spread = std::chrono::duration_cast<Duration>(spread_ * kUnobservedSpread *
                                                            static_cast<double>(live_nodes));
   const bool unobserved = now - known->second.observed_at > kMaxObservationAge + spread;
-  return unobserved ? LimitStanding::kUnobserved : LimitStanding::kLimited;
+  return unobserved ? LimitState::kUnobserved : LimitState::kLimited;
 }
 
 void LimitWatch::Refused(EndpointKey endpoint,
@@ -90,7 +90,9 @@
   refused_[endpoint] = {now + wait, now + std::clamp(wait, std::max(kMinPause, pause), kMaxPause)};
 }
 
-bool LimitWatch::MaySendUnasked(EndpointKey endpoint, std::uint32_t live_nodes, TimePoint now) {
+bool LimitWatch::MaySendWithoutPermit(EndpointKey endpoint,
+                                      std::uint32_t live_nodes,
+                                      TimePoint now) {
   const Duration interval = kUnpermittedInterval * std::max(1U, live_nodes);
   const auto first = now + std::chrono::duration_cast<Duration>(spread_ * interval);
   const auto [from, is_new] = next_unpermitted_at_.try_emplace(endpoint, first);
@@ -101,7 +103,7 @@
   return true;
 }
 
-Duration LimitWatch::LeastWait(TimePoint now) const {
+Duration LimitWatch::MinWait(TimePoint now) const {
   Duration least = kMaxPause;
   for (const auto& [endpoint, refusal] : refused_) {
     if (refusal.paused_until > now) {
--- a/src/rudderloom/endpoint_limits/limit_watch_test.cpp
+++ b/src/rudderloom/endpoint_limits/limit_watch_test.cpp
@@ -23,13 +23,13 @@
   CHECK(watch.Answered(kEndpoint, {Kind::kNone, 0.0}, At(0), At(5)) == LimitChange::kNone);
   CHECK(watch.Answered(kEndpoint, {Kind::kLimited, 2.5}, At(10), At(20)) == LimitChange::kChanged);
   CHECK(watch.LimitOf(kEndpoint) == 2.5);
-  CHECK(watch.StandingOf(kEndpoint, kNodes, At(21)) == LimitStanding::kLimited);
+  CHECK(watch.LimitStateOf(kEndpoint, kNodes, At(21)) == LimitState::kLimited);
   // Sent before the limit was received: its answer may have been written before the limit began.
   watch.Answered(kEndpoint, {Kind::kNone, 0.0}, At(15), At(30));
   CHECK(watch.LimitOf(kEndpoint) == 2.5);
   watch.Answered(kEndpoint, {Kind::kNone, 0.0}, At(25), At(40));
   CHECK(!watch.LimitOf(kEndpoint));
-  CHECK(watch.StandingOf(kEndpoint, kNodes, At(41)) == LimitStanding::kUnlimited);
+  CHECK(watch.LimitStateOf(kEndpoint, kNodes, At(41)) == LimitState::kUnlimited);
 }
 
 TEST_CASE("an unreadable limit changes nothing") {
@@ -55,16 +55,16 @@
   LimitWatch watch(0.5);
   watch.Answered(kEndpoint, {Kind::kLimited, 1.0}, At(0), At(0));
   watch.Refused(kEndpoint, Duration(300), kNodes, At(10));
-  CHECK(watch.StandingOf(kEndpoint, kNodes, At(309)) == LimitStanding::kRefused);
-  CHECK(watch.LeastWait(At(10)) == Duration(300));
-  CHECK(watch.StandingOf(kEndpoint, kNodes, At(310)) == LimitStanding::kLimited);
+  CHECK(watch.LimitStateOf(kEndpoint, kNodes, At(309)) == LimitState::kRefused);
+  CHECK(watch.MinWait(At(10)) == Duration(300));
+  CHECK(watch.LimitStateOf(kEndpoint, kNodes, At(310)) == LimitState::kLimited);
   // In a large fleet the pause is longer, but callers still get the time of the next permit.
   watch.Refused(kEndpoint, Duration(300), 100, At(310));
-  CHECK(watch.StandingOf(kEndpoint, 100, At(2'309)) == LimitStanding::kRefused);
-  CHECK(watch.LeastWait(At(310)) == Duration(300));
+  CHECK(watch.LimitStateOf(kEndpoint, 100, At(2'309)) == LimitState::kRefused);
+  CHECK(watch.MinWait(At(310)) == Duration(300));
   watch.Answered(kEndpoint, {Kind::kLimited, 1.0}, At(2'310), At(2'310));
-  CHECK(watch.StandingOf(kEndpoint, kNodes, At(4'460)) == LimitStanding::kLimited);
-  CHECK(watch.StandingOf(kEndpoint, kNodes, At(4'461)) == LimitStanding::kUnobserved);
+  CHECK(watch.LimitStateOf(kEndpoint, kNodes, At(4'460)) == LimitState::kLimited);
+  CHECK(watch.LimitStateOf(kEndpoint, kNodes, At(4'461)) == LimitState::kUnobserved);
 }
 
 // Guards against an endpoint that stays limited forever because no node can be asked for a permit.
@@ -78,7 +78,7 @@
     constexpr int kRunTime = 400'000;
     for (int now = 0; now < kRunTime; now += 100) {
       for (LimitWatch& watch : watches) {
-        sent += watch.MaySendUnasked(kEndpoint, nodes, At(now)) ? 1 : 0;
+        sent += watch.MaySendWithoutPermit(kEndpoint, nodes, At(now)) ? 1 : 0;
       }
     }
     CAPTURE(nodes);
@@ -86,9 +86,9 @@
     CHECK(sent <= 101);
   }
   LimitWatch watch(0.0);
-  CHECK(watch.MaySendUnasked(kEndpoint, 3, At(0)));
-  CHECK(!watch.MaySendUnasked(kEndpoint, 3, At(11'900)));
-  CHECK(watch.MaySendUnasked(kEndpoint, 3, At(12'000)));
+  CHECK(watch.MaySendWithoutPermit(kEndpoint, 3, At(0)));
+  CHECK(!watch.MaySendWithoutPermit(kEndpoint, 3, At(11'900)));
+  CHECK(watch.MaySendWithoutPermit(kEndpoint, 3, At(12'000)));
 }
 
 TEST_CASE("each observation is reported once, and unlisted endpoints are removed") {
--- a/src/rudderloom/endpoint_limits/permit_book.cpp
+++ b/src/rudderloom/endpoint_limits/permit_book.cpp
@@ -30,7 +30,7 @@
   return "unknown";
 }
 
-PermitAnswer PermitBook::Ask(const PermitAsk& ask, const PermitBasis& basis, TimePoint now) {
+PermitAnswer PermitBook::Ask(const PermitRequest& ask, const PermitBasis& basis, TimePoint now) {
   if (now < basis.valid_from || now >= basis.valid_until) {
     return {};
   }
@@ -38,10 +38,10 @@
   TimePoint& next_at = next_at_[ask.endpoint];
   const TimePoint start = std::max(now, next_at);
   const auto wait = std::chrono::ceil<Duration>(start - now);
-  if (wait > std::min(ask.most_wait, kMostPermitWait) || start >= basis.valid_until) {
+  if (wait > std::min(ask.max_wait, kMaxPermitWait) || start >= basis.valid_until) {
     return {PermitVerdict::kRefused, wait};
   }
-  next_at = start + Interval(ask.requests_per_second * basis.part);
+  next_at = start + Interval(ask.requests_per_second * basis.fraction);
   return {PermitVerdict::kGranted, wait};
 }
 
--- a/src/rudderloom/endpoint_limits/permit_book_test.cpp
+++ b/src/rudderloom/endpoint_limits/permit_book_test.cpp
@@ -16,7 +16,7 @@
 
 TEST_CASE("requests are spaced by the limit and wait up to their maximum") {
   PermitBook book;
-  const PermitAsk waiting_ask{kEndpoint, 2.0, Duration(500)};
+  const PermitRequest waiting_ask{kEndpoint, 2.0, Duration(500)};
   CHECK(book.Ask(waiting_ask, kHolder, kStart).wait == Duration(0));
   const PermitAnswer second = book.Ask(waiting_ask, kHolder, kStart);
   CHECK(second.verdict == PermitVerdict::kGranted);
@@ -44,7 +44,7 @@
 TEST_CASE("no request is permitted or sent after the lease may have ended") {
   PermitBook book;
   const PermitBasis basis{kStart, kStart + Duration(100), 1.0};
-  const PermitAsk ask{kEndpoint, 50.0, Duration(0)};
+  const PermitRequest ask{kEndpoint, 50.0, Duration(0)};
   CHECK(book.Ask(ask, basis, kStart).verdict == PermitVerdict::kGranted);
   CHECK(book.Ask({1, 1.0, Duration(0)}, basis, kStart).verdict == PermitVerdict::kGranted);
   CHECK(book.Ask({1, 5.0, Duration(500)}, basis, kStart).verdict == PermitVerdict::kRefused);
@@ -55,7 +55,7 @@
 // Guards against an endpoint that gets no requests, so that the end of its limit goes unnoticed.
 TEST_CASE("a limit of zero admits occasional requests") {
   PermitBook book;
-  const PermitAsk ask{kEndpoint, 0.0, Duration(0)};
+  const PermitRequest ask{kEndpoint, 0.0, Duration(0)};
   CHECK(book.Ask(ask, kHolder, kStart).verdict == PermitVerdict::kGranted);
   CHECK(book.Ask(ask, kHolder, kStart + Duration(19'000)).verdict == PermitVerdict::kRefused);
   CHECK(book.Ask(ask, kHolder, kStart + Duration(20'000)).verdict == PermitVerdict::kGranted);
@@ -89,15 +89,15 @@
       const int handover = static_cast<int>(random() % 12'000);
       std::vector<TimePoint> starts;
       for (int now = 0; now < 12'000; now += static_cast<int>(random() % 8)) {
-        const PermitAsk ask{kEndpoint, limit, Duration(random() % 500)};
+        const PermitRequest ask{kEndpoint, limit, Duration(random() % 500)};
         const TimePoint at = kStart + Duration(now);
         const bool from_deputy = random() % 2 == 0;
         const bool from_next = !from_deputy && now >= handover;
         PermitBook& book = from_deputy ? deputy : from_next ? next : first;
         PermitBasis basis = kHolder;
-        basis.part = from_deputy ? kDeputyPart : 1.0;
+        basis.fraction = from_deputy ? kDeputyFraction : 1.0;
         if (from_next) {
-          basis.valid_from = kStart + Duration(handover) + kMostPermitWait;
+          basis.valid_from = kStart + Duration(handover) + kMaxPermitWait;
         }
         const PermitAnswer answer = book.Ask(ask, basis, at);
         if (answer.verdict == PermitVerdict::kGranted) {
--- a/src/rudderloom/fleet/counts_inbox.cpp
+++ b/src/rudderloom/fleet/counts_inbox.cpp
@@ -9,7 +9,7 @@
   const bool was_empty = by_node_.empty();
   const auto [entry, is_new] = by_node_.try_emplace(counts.node);
   NodeCounts& kept = entry->second;
-  AddUntold(kept, counts);
+  MergeUnreported(kept, counts);
   kept = std::move(counts);
   return was_empty;
 }
--- a/src/rudderloom/fleet/endpoint_directory.cpp
+++ b/src/rudderloom/fleet/endpoint_directory.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-std::string LifeName(const std::string& id, std::uint64_t born) {
+std::string InstanceName(const std::string& id, std::uint64_t born) {
   if (born == 0) {
     return id;
   }
@@ -47,20 +47,20 @@
   }
   std::erase_if(unconfirmed_, [&](const auto& entry) { return !listed.contains(entry.first); });
   for (auto& [instance, known] : endpoints_) {
-    if (listed.contains(instance) || known.gone_at) {
+    if (listed.contains(instance) || known.unlisted_since) {
       continue;
     }
     if (kind == ListKind::kFromBackup) {
       known.rewrite_awaited_until = now + kRewriteTimeout;
     } else if (!known.rewrite_awaited_until) {
-      known.gone_at = now;
+      known.unlisted_since = now;
     }
   }
 }
 
 void EndpointDirectory::PutFromBackup(const EndpointRecord& record, TimePoint now) {
   const auto known = endpoints_.find(record.instance);
-  const bool is_gone = known != endpoints_.end() && known->second.gone_at;
+  const bool is_gone = known != endpoints_.end() && known->second.unlisted_since;
   if (is_gone || tombstones_.contains(record.instance)) {
     unconfirmed_[record.instance] = {record, now + kEntryLapseTimeout};
   } else {
@@ -93,14 +93,14 @@
   const bool was_leaving = known.record.leaving;
   // A count below that of the previous entry means that the process restarted without announcing
   // it; a count that is only below that of a report means that the entry is older than the report.
-  const bool fell = record.tells_models && record.orders_taken < known.listed_orders;
+  const bool fell = record.includes_models && record.orders_taken < known.listed_orders;
   const bool older =
-      !record.tells_models || (record.orders_taken < known.record.orders_taken && !fell);
-  known.listed_orders = record.tells_models ? record.orders_taken : known.listed_orders;
+      !record.includes_models || (record.orders_taken < known.record.orders_taken && !fell);
+  known.listed_orders = record.includes_models ? record.orders_taken : known.listed_orders;
   std::vector<ResidentModel> models = std::move(known.record.models);
   const std::uint64_t orders_taken = known.record.orders_taken;
   known.record = record;
-  known.gone_at.reset();
+  known.unlisted_since.reset();
   known.rewrite_awaited_until.reset();
   // An endpoint never returns from leaving, and an entry may be older than a report.
   known.record.leaving = known.record.leaving || was_leaving;
@@ -113,8 +113,8 @@
 void EndpointDirectory::MarkUnlisted(const std::string& instance, TimePoint now) {
   unconfirmed_.erase(instance);
   const auto found = endpoints_.find(instance);
-  if (found != endpoints_.end() && !found->second.gone_at) {
-    found->second.gone_at = now;
+  if (found != endpoints_.end() && !found->second.unlisted_since) {
+    found->second.unlisted_since = now;
   }
 }
 
@@ -152,7 +152,7 @@
 bool EndpointDirectory::ExpireUnlisted(TimePoint now) {
   return std::erase_if(endpoints_, [&](const auto& entry) {
            const KnownEndpoint& known = entry.second;
-           if (!known.gone_at || now - *known.gone_at < unlisted_retention_) {
+           if (!known.unlisted_since || now - *known.unlisted_since < unlisted_retention_) {
              return false;
            }
            tombstones_[entry.first] = {now, known.record.leaving};
@@ -165,7 +165,7 @@
   for (auto& [instance, known] : endpoints_) {
     if (known.rewrite_awaited_until && now >= *known.rewrite_awaited_until) {
       known.rewrite_awaited_until.reset();
-      known.gone_at = now;
+      known.unlisted_since = now;
       any = true;
     }
   }
--- a/src/rudderloom/fleet/endpoint_directory_test.cpp
+++ b/src/rudderloom/fleet/endpoint_directory_test.cpp
@@ -24,8 +24,8 @@
   EndpointDirectory directory(kUnlistedRetention);
   directory.ApplyList({Record("a"), Record("b")}, ListKind::kUpToDate, At(0));
   directory.ApplyList({Record("b")}, ListKind::kUpToDate, At(100));
-  CHECK(directory.Endpoints().at("a").gone_at.has_value());
-  CHECK_FALSE(directory.Endpoints().at("b").gone_at.has_value());
+  CHECK(directory.Endpoints().at("a").unlisted_since.has_value());
+  CHECK_FALSE(directory.Endpoints().at("b").unlisted_since.has_value());
   CHECK_FALSE(directory.Expire(At(900)));
   CHECK(directory.Expire(At(1'100)));
   CHECK_FALSE(directory.Endpoints().contains("a"));
@@ -37,7 +37,7 @@
   directory.MarkUnlisted("a", At(0));
   directory.Put(Record("a"));
   CHECK_FALSE(directory.Expire(At(5'000)));
-  CHECK_FALSE(directory.Endpoints().at("a").gone_at.has_value());
+  CHECK_FALSE(directory.Endpoints().at("a").unlisted_since.has_value());
 }
 
 TEST_CASE("an older entry does not revoke leaving") {
@@ -72,7 +72,7 @@
   EndpointRecord record;
   record.id = "e1";
   record.born = born;
-  record.instance = LifeName("e1", born);
+  record.instance = InstanceName("e1", born);
   record.orders_taken = orders_taken;
   record.models = {{"m", 1, {}}};
   return record;
@@ -115,7 +115,7 @@
 
 bool Usable(const EndpointDirectory& directory, const std::string& instance) {
   const auto found = directory.Endpoints().find(instance);
-  return found != directory.Endpoints().end() && !found->second.gone_at &&
+  return found != directory.Endpoints().end() && !found->second.unlisted_since &&
          !found->second.record.leaving;
 }
 
--- a/src/rudderloom/fleet/fleet_actor.cpp
+++ b/src/rudderloom/fleet/fleet_actor.cpp
@@ -41,7 +41,7 @@
   return {[owner](const fleet_message::Any& message) { owner->Handle(message); },
           [owner](InboxFilled) {
             for (NodeCounts& counts : owner->inbox.TakeAll()) {
-              owner->Handle(fleet_message::PeerCounted{std::move(counts)});
+              owner->Handle(fleet_message::PeerCountsReceived{std::move(counts)});
             }
           }};
 }
@@ -78,7 +78,7 @@
 }
 
 void FleetActor::Post(fleet_message::Any message) {
-  auto* counted = std::get_if<fleet_message::PeerCounted>(&message);
+  auto* counted = std::get_if<fleet_message::PeerCountsReceived>(&message);
   if (counted == nullptr) {
     caf::anon_send(impl_->actor, std::move(message));
     return;
