--- a/src/rudderloom/fleet/fleet_dissemination.cpp
+++ b/src/rudderloom/fleet/fleet_dissemination.cpp
@@ -63,28 +63,28 @@
 
 // Returns true when the holder has named this node a relay, or others report to it as one.
 bool FleetState::ActsAsRelay(TimePoint now) const {
-  return !holds_lease_ && received_ && now - received_->made_at < kOldestWord &&
+  return !holds_lease_ && received_ && now - received_->made_at < kMaxDigestAge &&
          (received_->digest.is_relay || group_.HasMembers(now));
 }
 
-NodeDuty FleetState::Duty(TimePoint now) const {
+NodeRole FleetState::Duty(TimePoint now) const {
   if (holds_lease_) {
-    return NodeDuty::kHolder;
+    return NodeRole::kHolder;
   }
   if (!ActsAsRelay(now)) {
-    return NodeDuty::kNone;
+    return NodeRole::kNone;
   }
-  return received_->digest.standby ? NodeDuty::kStandby : NodeDuty::kRelay;
+  return received_->digest.standby ? NodeRole::kStandby : NodeRole::kRelay;
 }
 
 // Chooses the source of the store's objects.
 void FleetState::UpdateFollowings(FleetEffects& effects, TimePoint now) {
-  const NodeDuty duty = Duty(now);
+  const NodeRole duty = Duty(now);
   Followings followings;
   followings.endpoints = endpoint_source_.Choose(duty, now);
   followings.configuration = configuration_source_.Choose(duty, now);
   if (holds_lease_ && !(roster_ && roster_->HasRelays())) {
-    followings.configuration = Following::kStore;
+    followings.configuration = FollowMode::kStore;
   }
   if (followings == followings_) {
     return;
@@ -142,22 +142,23 @@
 
 void FleetState::On(const fleet_message::ReportFailed& failed, TimePoint now) {
   report_unanswered_ = true;
-  spending_.Failed(failed.report_number);
-  upstream_.Failed(failed.to, now);
+  spending_.MarkFailed(failed.report_number);
+  upstream_.HandleFailure(failed.to, now);
 }
 
-void FleetState::On(const fleet_message::DigestHeard& received, TimePoint now) {
+void FleetState::On(const fleet_message::DigestReceived& received, TimePoint now) {
   const HolderDigest& digest = received.digest;
   ApplyPeerCrashNews(digest.crash_news, now);
-  spending_.Arrived(received.report_number);
+  spending_.MarkDelivered(received.report_number);
   const std::string previous_address = upstream_.Address();
-  const bool accepted = upstream_.Answered(received.from, digest, now);
+  const bool accepted = upstream_.HandleAnswer(received.from, digest, now);
   if (upstream_.Address() != previous_address) {
     LogLine("reports_to").With("address", upstream_.Address()).With("before", previous_address);
   }
   report_unanswered_ = !accepted;
   redirected_ = accepted && !digest.relay.empty();
-  if (holds_lease_ || !digest.holds || (received_ && digest.epoch < received_->digest.epoch)) {
+  if (holds_lease_ || !digest.is_authoritative ||
+      (received_ && digest.epoch < received_->digest.epoch)) {
     return;
   }
   if (!accepted) {
@@ -175,8 +176,8 @@
 
 void FleetState::ApplyLists(const HolderDigest& digest, TimePoint now) {
   ApplyHolderEndpoints(digest, now);
-  if (!digest.tells_configuration) {
-    configuration_source_.NotTold();
+  if (!digest.has_configuration) {
+    configuration_source_.NotInDigest();
   } else if (digest.configuration_age) {
     if (digest.configuration.version > RoutesVersion() &&
         routes_.Change().Apply(digest.configuration)) {
@@ -185,7 +186,7 @@
     // Changes that could not be applied leave this node behind: then its own configuration isn't
     // confirmed.
     if (RoutesVersion() >= digest.routes_version) {
-      configuration_source_.Heard(*digest.configuration_age, now);
+      configuration_source_.RecordDigest(*digest.configuration_age, now);
     }
   }
   view_changed_ = true;
@@ -194,15 +195,15 @@
 // A holder that does not support eras may be one era behind and stay there: after a restore its
 // endpoints are ignored, and this node reads the store.
 void FleetState::ApplyHolderEndpoints(const HolderDigest& digest, TimePoint now) {
-  if (!digest.endpoints_age || (!digest.tells_era && era_advanced_)) {
+  if (!digest.endpoints_age || (!digest.has_era && era_advanced_)) {
     return;
   }
   // What the store confirmed before the restore does not confirm its contents since then.
-  if (digest.tells_era && digest.endpoints.version.Era() < store_era_.value_or(0)) {
+  if (digest.has_era && digest.endpoints.version.Era() < store_era_.value_or(0)) {
     return;
   }
-  endpoint_source_.Heard(*digest.endpoints_age, now);
-  if (digest.tells_era) {
+  endpoint_source_.RecordDigest(*digest.endpoints_age, now);
+  if (digest.has_era) {
     ApplyEndpointChanges(digest.endpoints, EndpointOrigin::kHolder, now);
     return;
   }
@@ -237,10 +238,10 @@
   statement_due_ = true;
 }
 
-std::shared_ptr<const Statement> FleetState::MakeStatement(TimePoint now) {
-  auto statement = std::make_shared<Statement>();
+std::shared_ptr<const DigestSource> FleetState::MakeStatement(TimePoint now) {
+  auto statement = std::make_shared<DigestSource>();
   HolderDigest& common = statement->common;
-  common.holds = holds_lease_;
+  common.is_authoritative = holds_lease_;
   common.epoch = holds_lease_ ? lease_.Epoch() : upstream_.Epoch();
   common.holder = holds_lease_ ? settings_.listen.peers : upstream_.Holder();
   if (!holds_lease_) {
@@ -257,12 +258,12 @@
   statement->limits = limits_.Table(now);
   statement->permits = MakePermitBasis();
   common.nodes = live_nodes_;
-  common.renewals_fail = lease_.RenewalsFail(now);
+  common.renewals_fail = lease_.IsRenewalOverdue(now);
   common.relay_pause = RelayReportInterval(settings_.processor_share);
   statement->loads = sums_;
   common.loads_due = LoadsDueFrom(forecast_, now);
   // Until the relays are chosen, lists are neither sent nor declared unavailable.
-  common.tells_configuration = !roster_ || roster_->HasRelays();
+  common.has_configuration = !roster_ || roster_->HasRelays();
   if (roster_) {
     statement->roster = roster_;
     common.standby_addresses = roster_->StandbyAddresses();
@@ -271,8 +272,8 @@
   return statement;
 }
 
-std::shared_ptr<const Statement> FleetState::MakeRelayStatement(TimePoint now) {
-  auto statement = std::make_shared<Statement>();
+std::shared_ptr<const DigestSource> FleetState::MakeRelayStatement(TimePoint now) {
+  auto statement = std::make_shared<DigestSource>();
   statement->common = received_->digest;
   statement->common.relay.clear();
   statement->common.is_relay = false;
@@ -288,18 +289,18 @@
   statement->limits = limits_.Table(received_->made_at);
   statement->grants = MakeRelayGrantBasis();
   statement->permits = MakePermitBasis();
-  statement->most_members = MostMembers(settings_.group_size);
+  statement->max_members = MaxRelayMembers(settings_.group_size);
   AddKnownObjects(*statement);
   return statement;
 }
 
 // Adds this node's copy of the store's objects, from any source.
-void FleetState::AddKnownObjects(Statement& statement) {
+void FleetState::AddKnownObjects(DigestSource& statement) {
   statement.common.routes_version = RoutesVersion();
   statement.serving = serving_log_.Copy();
   statement.endpoints = endpoint_log_.Copy();
   statement.endpoints_confirmed_at = endpoint_source_.ConfirmedAt();
-  if (statement.common.tells_configuration && RoutesVersion() != 0) {
+  if (statement.common.has_configuration && RoutesVersion() != 0) {
     statement.configuration = routes_.Copy();
     statement.configuration_confirmed_at = configuration_source_.ConfirmedAt();
   }
@@ -308,12 +309,12 @@
 // Chooses relays some time after the lease was taken, when nodes have reported; returns true when
 // they were chosen.
 bool FleetState::ChooseRelays(TimePoint now) {
-  const bool known_small = received_ && !received_->digest.tells_configuration;
+  const bool known_small = received_ && !received_->digest.has_configuration;
   if (!known_small && now - held_since_ < kRosterDelay) {
     return false;
   }
   auto roster = std::make_shared<Roster>(settings_.group_size);
-  roster->Update(board_.Reporting(settings_.name, now));
+  roster->Update(board_.ReportingNodes(settings_.name, now));
   roster_ = std::move(roster);
   return true;
 }
--- a/src/rudderloom/fleet/fleet_dissemination_test.cpp
+++ b/src/rudderloom/fleet/fleet_dissemination_test.cpp
@@ -174,7 +174,7 @@
     const int spread = SpreadTime(world, 5, relay);
     MESSAGE("configuration ", spread, " ms");
     CHECK(spread <= 3'000);
-    CHECK(world.WentBack() == 0);
+    CHECK(world.ConfigurationRegressions() == 0);
   }
 }
 
@@ -270,7 +270,7 @@
           CAPTURE(victims);
           CAPTURE(pause);
           CHECK(world.Now() - from <= kChangeBound);
-          CHECK(world.WentBack() == 0);
+          CHECK(world.ConfigurationRegressions() == 0);
           ++schedules;
         }
       }
--- a/src/rudderloom/fleet/fleet_endpoints.cpp
+++ b/src/rudderloom/fleet/fleet_endpoints.cpp
@@ -13,7 +13,7 @@
 }
 
 EndpointRecord WithoutModels(EndpointRecord record) {
-  record.tells_models = false;
+  record.includes_models = false;
   record.orders_taken = 0;
   record.models.clear();
   return record;
--- a/src/rudderloom/fleet/fleet_lease.cpp
+++ b/src/rudderloom/fleet/fleet_lease.cpp
@@ -1,9 +1,9 @@
 // Lease handling of the control state: reads, takes, renews and gives up the lease.
 #include <algorithm>  // for max
 
-#include "rudderloom/base/log_line.hpp"      // for LogLine
-#include "rudderloom/base/spread.hpp"        // for SpreadOf
-#include "rudderloom/fleet/fleet_state.hpp"  // for FleetState
+#include "rudderloom/base/log_line.hpp"         // for LogLine
+#include "rudderloom/base/stable_fraction.hpp"  // for StableFraction
+#include "rudderloom/fleet/fleet_state.hpp"     // for FleetState
 
 namespace rudderloom {
 
@@ -73,7 +73,7 @@
 // lapsed lease back before others could be sure that it was free.
 bool FleetState::ShouldResign(TimePoint now) const {
   return holds_lease_ && lag_.Overloaded() && now - held_since_ >= kMinHoldTime &&
-         !board_.Reporting(settings_.name, now).empty();
+         !board_.ReportingNodes(settings_.name, now).empty();
 }
 
 // No order may reach an endpoint after the lease was given up: the next holder waits only for as
@@ -86,7 +86,7 @@
         .With("epoch", lease_.Epoch())
         .With("mean_lag_ms", lag_.Mean().count());
   }
-  if (placement_.OrdersUnderWay()) {
+  if (placement_.HasOrdersInFlight()) {
     return;
   }
   if (stopping_) {
@@ -114,7 +114,7 @@
     return yield_time;
   }
   return yield_time +
-         std::chrono::duration_cast<Duration>(SpreadOf(settings_.name) * kFirstStartSpread);
+         std::chrono::duration_cast<Duration>(StableFraction(settings_.name) * kFirstStartSpread);
 }
 
 // If all nodes of a starting fleet read the object freshly, tried to create it and read it again,
@@ -141,7 +141,7 @@
 // Reads and writes the lease object when due, and applies a change of the holder.
 void FleetState::UpdateLease(FleetEffects& effects, TimePoint now) {
   UpdateResignation(now);
-  lease_.YieldFor(LeaseYield(now));
+  lease_.SetExtraYield(LeaseYield(now));
   if (holds_lease_) {
     // Every write lists all orders sent so far.
     const OrderAnnouncements& announcements = placement_.Announcements();
@@ -157,7 +157,7 @@
   effects.released = stopping_ && lease_.Released();
   if (lease_.HolderAddress() != lease_holder_) {
     lease_holder_ = lease_.HolderAddress();
-    upstream_.HolderSeen(lease_holder_, lease_.Epoch());
+    upstream_.ObserveHolder(lease_holder_, lease_.Epoch());
     LogLine("holder_seen").With("holder", lease_holder_).With("epoch", lease_.Epoch());
   }
   resigning_ = resigning_ && !lease_.Released();
@@ -175,7 +175,7 @@
   } else {
     FormerLease former = lease_.Former();
     if (lease_.Epoch() == held_epoch_) {
-      former.who = FormerHolder::kThisProcess;
+      former.former_holder = FormerHolder::kThisProcess;
     }
     placement_.Reset(former, now);
     held_epoch_ = lease_.Epoch();
@@ -192,7 +192,7 @@
 // Called when the store was restored from an older backup and this holder has taken its lease
 // again.
 void FleetState::ContinueHolding(FleetEffects& effects, TimePoint now) {
-  placement_.GoOn(lease_.Former(), now);
+  placement_.ContinueLease(lease_.Former(), now);
   held_epoch_ = lease_.Epoch();
   limits_.Begin(held_epoch_);
   effects.statement = MakeStatement(now);
@@ -213,7 +213,7 @@
 void FleetState::On(const fleet_message::LeaseSeen& seen, TimePoint now) {
   lease_read_pending_ = false;
   NoteEra(seen.version.Era());
-  const bool taken = lease_.Seen(seen.record, seen.version, seen.fresh, now);
+  const bool taken = lease_.ApplyRead(seen.record, seen.version, seen.fresh, now);
   if (taken || !seen.record || now - lease_ignored_logged_at_ < kIgnoredLogInterval) {
     return;
   }
@@ -226,14 +226,14 @@
       .With("known_epoch", lease_.Epoch());
 }
 
-void FleetState::On(const fleet_message::LeaseUnread&, TimePoint now) {
+void FleetState::On(const fleet_message::LeaseReadFailed&, TimePoint now) {
   lease_read_pending_ = false;
-  lease_.Unread(now);
+  lease_.OnReadFailed(now);
 }
 
 void FleetState::On(const fleet_message::LeaseWritten& written, TimePoint now) {
   if (written.version) {
-    lease_.Written(*written.version, now);
+    lease_.OnWriteSucceeded(*written.version, now);
   } else {
     lease_.WriteFailed();
   }
--- a/src/rudderloom/fleet/fleet_limits.cpp
+++ b/src/rudderloom/fleet/fleet_limits.cpp
@@ -49,12 +49,12 @@
 
 std::optional<PermitBasis> FleetState::MakePermitBasis() const {
   if (holds_lease_) {
-    return PermitBasis{held_since_ + kMostPermitWait, lease_.ValidUntil(), 1.0};
+    return PermitBasis{held_since_ + kMaxPermitWait, lease_.ValidUntil(), 1.0};
   }
   if (!deputy_since_) {
     return std::nullopt;
   }
-  return PermitBasis{*deputy_since_ + kMostPermitWait, TimePoint::max(), kDeputyPart};
+  return PermitBasis{*deputy_since_ + kMaxPermitWait, TimePoint::max(), kDeputyFraction};
 }
 
 // Until when this node asks the holder for permits.
@@ -62,7 +62,7 @@
   if (holds_lease_) {
     return TimePoint::max();
   }
-  return received_ ? received_->made_at + kHolderGrantsFor : TimePoint();
+  return received_ ? received_->made_at + kMaxHolderMessageAge : TimePoint();
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/fleet/fleet_limits_test.cpp
+++ b/src/rudderloom/fleet/fleet_limits_test.cpp
@@ -81,7 +81,7 @@
     return;
   }
   const FleetViewPtr& view = world.ViewOf(*holder == 0 ? 1 : 0);
-  const auto deputy = view ? world.Answering(0, view->deputy) : std::nullopt;
+  const auto deputy = view ? world.ReachableNodeAt(0, view->deputy) : std::nullopt;
   if (deputy) {
     world.Kill(*deputy);
   }
@@ -154,11 +154,11 @@
     for (int round = 0; round < 4; ++round) {
       traffic.Announce(5.0);
       traffic.Play(1'000);
-      CHECK(traffic.NodesThatLimit() == nodes);
+      CHECK(traffic.NodesApplyingLimit() == nodes);
       traffic.Play(3'000);
       traffic.Announce(0.0);
       traffic.Play(1'500);
-      CHECK(traffic.NodesThatLimit() == 0);
+      CHECK(traffic.NodesApplyingLimit() == 0);
       traffic.Play(2'000);
       CHECK(traffic.Arrived(1'000) > 25);
     }
--- a/src/rudderloom/fleet/fleet_quarantine.cpp
+++ b/src/rudderloom/fleet/fleet_quarantine.cpp
@@ -82,7 +82,7 @@
   if (holds_lease_) {
     constexpr unsigned kHalf = 32;
     quarantine_version_ = (lease_.Epoch() << kHalf) | (++quarantine_changes_ & 0xffffffffU);
-    lease_.NoteQuarantined(crash_book_.Quarantined(kMaxQuarantinedInLease));
+    lease_.SetQuarantined(crash_book_.Quarantined(kMaxQuarantinedInLease));
   }
   auto list = std::make_shared<const QuarantineList>(crash_book_.List());
   const QuarantineList before = quarantine_ ? *quarantine_ : QuarantineList();
@@ -102,7 +102,7 @@
 
 // Returns null while the table is empty.
 std::shared_ptr<const QuarantineTable> FleetState::MakeQuarantineTable(TimePoint now) const {
-  std::vector<SuspectEntry> entries = crash_book_.Told(now);
+  std::vector<SuspectEntry> entries = crash_book_.PublishedEntries(now);
   if (entries.empty()) {
     return nullptr;
   }
--- a/src/rudderloom/fleet/fleet_quota.cpp
+++ b/src/rudderloom/fleet/fleet_quota.cpp
@@ -16,7 +16,7 @@
 // Called when the lease is taken: continues from the last balances that this node knows, from the
 // holder's digest or else from the last lease record of the former holder.
 void FleetState::RestoreBalances(const FormerLease& lease, TimePoint now) {
-  FormerBalances former;
+  PreviousBalances former;
   if (quota_snapshot_) {
     former = {quota_snapshot_->balances, quota_snapshot_->made_at};
   } else {
@@ -25,9 +25,9 @@
     }
     former.made_at = now;
   }
-  UnknownBalance unknown = UnknownBalance::kQuarter;
-  if (lease.who == FormerHolder::kNone) {
-    unknown = settings_.first_start ? UnknownBalance::kWhole : UnknownBalance::kEmpty;
+  AssumedBalance unknown = AssumedBalance::kQuarter;
+  if (lease.former_holder == FormerHolder::kNone) {
+    unknown = settings_.first_start ? AssumedBalance::kFull : AssumedBalance::kEmpty;
   }
   ledger_.Begin(former, unknown, now);
 }
@@ -41,7 +41,7 @@
   for (const auto& [customer, balance] : balances) {
     const auto limit = limits.find(customer);
     if (limit != limits.end() &&
-        balance.level < MostAhead(limit->second, settings_.bounds.quota) / 2) {
+        balance.level < MaxBalance(limit->second, settings_.bounds.quota) / 2) {
       low[customer] = balance.level;
     }
   }
@@ -52,16 +52,16 @@
 void FleetState::UpdateBalances(TimePoint now) {
   const SpendingReport report = spending_.Take(now);
   const QuotaLimits& limits = routes_.Get().Current()->Customers().Limits();
-  ledger_.Move(report.table, limits, now);
-  spending_.Arrived(report.number);
+  ledger_.Update(report.table, limits, now);
+  spending_.MarkDelivered(report.number);
   spending_.Confirmed(report.number);
   PublishBalances(ledger_.Balances(now), now);
-  lease_.NoteBalances(FindLowBalances(ledger_.Balances(now), limits));
+  lease_.SetLowBalances(FindLowBalances(ledger_.Balances(now), limits));
 }
 
 // The holder books its grants; a relay reports its grants to the next holder.
 void FleetState::On(const fleet_message::RequestGranted& granted, TimePoint now) {
-  const SpendAsk& ask = granted.grant.ask;
+  const SpendRequest& ask = granted.grant.ask;
   if (holds_lease_ && RoutesVersion() != 0) {
     ledger_.Granted(ask, routes_.Get().Current()->Customers().Limits(), now);
   } else {
@@ -80,7 +80,7 @@
   basis->valid_until = lease_.ValidUntil();
   basis->balances = quota_snapshot_->balances;
   basis->limits = routes_.Get().Current()->Customers().Limits();
-  basis->unknown = ledger_.Unknown();
+  basis->assumed = ledger_.Unknown();
   basis->unknown_since = ledger_.BegunAt();
   basis->counted = grants_in_balances_;
   return basis;
@@ -102,12 +102,12 @@
   }
   auto basis = std::make_shared<GrantBasis>();
   basis->made_at = quota_snapshot_->made_at;
-  basis->valid_from = quota_snapshot_->made_at + kGrantsWithWord;
+  basis->valid_from = quota_snapshot_->made_at + kMaxGrantDigestAge;
   basis->valid_until = TimePoint::max();
   basis->balances = quota_snapshot_->balances;
   basis->limits = routes_.Get().Current()->Customers().Limits();
   basis->unknown_since = quota_snapshot_->made_at;
-  basis->part = std::min(1.0, static_cast<double>(quota_group_) / std::max(1U, live_nodes_));
+  basis->fraction = std::min(1.0, static_cast<double>(quota_group_) / std::max(1U, live_nodes_));
   basis->counted = grants_in_balances_;
   return basis;
 }
@@ -118,7 +118,7 @@
   if (!routes || routes->Customers().Limits().empty()) {
     return;
   }
-  auto word = std::make_shared<QuotaWord>();
+  auto word = std::make_shared<QuotaSnapshot>();
   word->made_at = made_at;
   word->balances = std::move(balances);
   word->counted = spending_.OwnCounted();
--- a/src/rudderloom/fleet/fleet_quota_test.cpp
+++ b/src/rudderloom/fleet/fleet_quota_test.cpp
@@ -37,7 +37,7 @@
 
 // The spent part of the burst, according to the balance that the node has received.
 std::int64_t SpentAt(const FleetWorld& world, int node) {
-  return kBurst - world.LevelAt(node, kName).value_or(kBurst);
+  return kBurst - world.BalanceAt(node, kName).value_or(kBurst);
 }
 
 bool NearlyEqualSpending(std::int64_t spent, std::int64_t expected) {
@@ -88,9 +88,9 @@
   REQUIRE_FALSE(world.Holder());
   double parts = 0.0;
   for (int i = 0; i < world.Nodes(); ++i) {
-    const auto grants = world.GrantsOf(i);
+    const auto grants = world.GrantBasisOf(i);
     if (grants && grants->valid_from <= world.Time() && world.Time() < grants->valid_until) {
-      parts += grants->part;
+      parts += grants->fraction;
     }
   }
   MESSAGE("parts granted: ", parts);
@@ -106,7 +106,7 @@
     world.Play(400);
   }
   world.Play(3'000);
-  const std::int64_t left = world.LevelAt(*world.Holder(), kName).value_or(kBurst);
+  const std::int64_t left = world.BalanceAt(*world.Holder(), kName).value_or(kBurst);
   REQUIRE(left < kBurst / 2);
   for (int i = 0; i < world.Nodes(); ++i) {
     world.Start(i);
@@ -115,7 +115,7 @@
   REQUIRE(world.Holder());
   world.Spend(*world.Holder(), kName, 1);
   world.Play(2'000);
-  const auto after = world.LevelAt(*world.Holder(), kName);
+  const auto after = world.BalanceAt(*world.Holder(), kName);
   REQUIRE(after);
   CHECK(*after >= left - 60);
   CHECK(*after <= left + 60);
--- a/src/rudderloom/fleet/fleet_restore_test.cpp
+++ b/src/rudderloom/fleet/fleet_restore_test.cpp
@@ -83,7 +83,7 @@
   // Writes that the backup lacks.
   world.Play(restore.age / 2);
   if (restore.lost_writes > 0) {
-    world.WriteElsewhere(restore.lost_writes - 1);
+    world.WriteUnrelatedObjects(restore.lost_writes - 1);
     world.PutEndpoint("e3", false);
   }
   world.Play(restore.age - restore.age / 2);
@@ -126,7 +126,7 @@
       break;
     }
   }
-  outcome.went_back = world.WentBack();
+  outcome.went_back = world.ConfigurationRegressions();
   return outcome;
 }
 
@@ -201,7 +201,7 @@
   world.Play(12'000);
   std::uint64_t version = 1;
   for (const int age : {6'000, 500, 9'000, 100}) {
-    world.WriteElsewhere(20);
+    world.WriteUnrelatedObjects(20);
     world.Play(1'000);
     world.SetStoreDown(true);
     world.Play(500);
@@ -219,7 +219,7 @@
     CHECK(AllNodes(world, [&](int i) { return world.RoutesVersionOf(i) == version; }));
   }
   CHECK(world.Holders() == 1);
-  CHECK(world.WentBack() == 0);
+  CHECK(world.ConfigurationRegressions() == 0);
 }
 
 // The backup still has the entry; the store drops it when it is not renewed for a while.
--- a/src/rudderloom/fleet/fleet_settings.cpp
+++ b/src/rudderloom/fleet/fleet_settings.cpp
@@ -77,7 +77,7 @@
 
 }  // namespace
 
-bool AsksForFleet(std::string_view text) {
+bool IsFleetSettings(std::string_view text) {
   auto parsed = ParseJsonObject(text, "/");
   const auto* object = std::get_if<boost::json::object>(&parsed);
   return object != nullptr && TextAt(*object, "interface") == kInterface;
--- a/src/rudderloom/fleet/fleet_settings_test.cpp
+++ b/src/rudderloom/fleet/fleet_settings_test.cpp
@@ -14,7 +14,7 @@
 })";
 
 TEST_CASE("settings are parsed, and missing ones have their defaults") {
-  CHECK(AsksForFleet(kSettings));
+  CHECK(IsFleetSettings(kSettings));
   const auto read = ParseFleetSettings(kSettings);
   REQUIRE(std::holds_alternative<FleetSettings>(read));
   const auto& settings = std::get<FleetSettings>(read);
@@ -45,8 +45,8 @@
 }
 
 TEST_CASE("settings of the other interface are rejected") {
-  CHECK_FALSE(AsksForFleet(R"({"node": {"name": "n"}})"));
-  CHECK_FALSE(AsksForFleet("not JSON"));
+  CHECK_FALSE(IsFleetSettings(R"({"node": {"name": "n"}})"));
+  CHECK_FALSE(IsFleetSettings("not JSON"));
   CHECK(std::holds_alternative<JsonErrors>(ParseFleetSettings("{}")));
 }
 
--- a/src/rudderloom/fleet/fleet_shell.cpp
+++ b/src/rudderloom/fleet/fleet_shell.cpp
@@ -49,25 +49,25 @@
 
 // Returns nullopt for the store's default.
 std::optional<Duration> RoutesWatchTime(const Followings& followings, Duration bound) {
-  if (followings.configuration == Following::kForOthers) {
+  if (followings.configuration == FollowMode::kStoreForOthers) {
     return FractionOf(bound, kSharedRoutesDelayFraction);
   }
   switch (followings.endpoints) {
-    case Following::kForOthers:
+    case FollowMode::kStoreForOthers:
       return kHolderRoutesWatchTime;
-    case Following::kHolder:
+    case FollowMode::kHolder:
       return kFollowerRoutesWatchTime;
-    case Following::kStore:
-    case Following::kStoreOnce:
+    case FollowMode::kStore:
+    case FollowMode::kStoreOnce:
       return std::nullopt;
   }
   return std::nullopt;
 }
 
 // Adjusts a follower's store calls to the way of following.
-void SetPace(FollowPace& pace, Following following) {
-  pace.once = following == Following::kStoreOnce;
-  if (following == Following::kHolder) {
+void SetPace(FollowPace& pace, FollowMode following) {
+  pace.once = following == FollowMode::kStoreOnce;
+  if (following == FollowMode::kHolder) {
     pace.Pause();
   } else {
     pace.Resume();
@@ -91,8 +91,8 @@
       client_(context),
       routes_pace_(std::make_shared<FollowPace>(context)),
       endpoints_pace_(std::make_shared<FollowPace>(context)) {
-  routes_pace_->least_between = kMinConfigurationCallInterval;
-  ApplyFollowings(FollowingsAtStart(settings_));
+  routes_pace_->min_interval = kMinConfigurationCallInterval;
+  ApplyFollowings(InitialFollowings(settings_));
 }
 
 void FleetShell::Start() {
@@ -265,16 +265,16 @@
 }
 
 void FleetShell::ApplyFollowings(const Followings& followings) {
-  follows_for_others_ = followings.endpoints == Following::kForOthers;
+  follows_for_others_ = followings.endpoints == FollowMode::kStoreForOthers;
   routes_pace_->watch_time = RoutesWatchTime(followings, settings_.bounds.configuration);
   const Duration drain = settings_.bounds.drain;
-  endpoints_pace_->least_between = FractionOf(
+  endpoints_pace_->min_interval = FractionOf(
       drain, follows_for_others_ ? kSharedEndpointDelayFraction : kEndpointDelayFraction);
   endpoints_pace_->watch_time.reset();
-  endpoints_pace_->list_every.reset();
+  endpoints_pace_->relist_interval.reset();
   if (follows_for_others_) {
-    endpoints_pace_->watch_time = endpoints_pace_->least_between;
-    endpoints_pace_->list_every = kSharedListInterval;
+    endpoints_pace_->watch_time = endpoints_pace_->min_interval;
+    endpoints_pace_->relist_interval = kSharedListInterval;
   }
   // An unchanged way of following needs no new list.
   if (!followings_ || followings_->endpoints != followings.endpoints) {
@@ -292,7 +292,7 @@
     auto listed = co_await store_.ListStale(kind);
     if (auto* error = std::get_if<StoreError>(&listed)) {
       OnStoreError(kind, *error);
-      post_(fleet_message::LeaseUnread{});
+      post_(fleet_message::LeaseReadFailed{});
       co_return;
     }
     OnStoreAnswer(kind);
@@ -317,7 +317,7 @@
       post_(fleet_message::LeaseSeen{std::nullopt, StoreRevision(error->era, 0)});
     } else {
       OnStoreError(kind, *error);
-      post_(fleet_message::LeaseUnread{});
+      post_(fleet_message::LeaseReadFailed{});
     }
     co_return;
   }
@@ -347,12 +347,13 @@
 }
 
 Awaitable<void> FleetShell::FetchReport(ReportCall call) {
-  CallTimes times;
+  CallTimeouts times;
   times.connect = kConnectTimeout;
   times.first_byte = kReportTimeout;
   times.between = kReportTimeout;
   HttpRequest request = formats_.write_report_call(call.address);
-  auto answer = co_await client_.Call(call.address, std::move(request), times, Reuse::kAllowed);
+  auto answer =
+      co_await client_.Call(call.address, std::move(request), times, ConnectionReuse::kAllowed);
   fleet_message::EngineReported message;
   message.instance = call.instance;
   if (const auto* response = std::get_if<HttpResponse>(&answer)) {
@@ -381,18 +382,19 @@
   if (Now() >= order.valid_until) {
     co_return PlacementOutcome::kLapsed;
   }
-  CallTimes times;
+  CallTimeouts times;
   times.connect = kConnectTimeout;
   times.first_byte = kOrderTimeout;
   times.between = kOrderTimeout;
   HttpRequest request = formats_.write_order(order);
-  auto answer = co_await client_.Call(order.address, std::move(request), times, Reuse::kNever);
+  auto answer =
+      co_await client_.Call(order.address, std::move(request), times, ConnectionReuse::kNever);
   if (const auto* failure = std::get_if<HttpFailure>(&answer)) {
     LogLine("order_unanswered")
         .With("endpoint", order.instance)
-        .With("sent", failure->may_have_left ? "maybe" : "no")
+        .With("sent", failure->may_have_been_sent ? "maybe" : "no")
         .With("error", failure->message);
-    co_return failure->may_have_left ? PlacementOutcome::kUnknown : PlacementOutcome::kNotSent;
+    co_return failure->may_have_been_sent ? PlacementOutcome::kUnknown : PlacementOutcome::kNotSent;
   }
   co_return formats_.read_outcome(std::get<HttpResponse>(answer));
 }
--- a/src/rudderloom/fleet/fleet_shell_test.cpp
+++ b/src/rudderloom/fleet/fleet_shell_test.cpp
@@ -61,7 +61,7 @@
     return {context, settings, formats, store, metrics, [](const fleet_message::Any&) {}};
   }
 
-  void Follow(Following endpoints, Following configuration) {
+  void Follow(FollowMode endpoints, FollowMode configuration) {
     FleetEffects effects;
     effects.followings = Followings{endpoints, configuration};
     shell.Execute(std::move(effects));
@@ -75,20 +75,20 @@
 
 // Number of further lists of the configuration within `time` by a node whose watches have fallen
 // silent.
-int ListsWithin(Following endpoints, std::chrono::milliseconds time) {
+int ListsWithin(FollowMode endpoints, std::chrono::milliseconds time) {
   ShellFixture fixture;
-  fixture.Follow(Following::kStore, Following::kStore);
+  fixture.Follow(FollowMode::kStore, FollowMode::kStore);
   fixture.context.run_for(std::chrono::milliseconds(100));  // The watches have started.
   const int before = fixture.store.ConfigurationLists();
-  fixture.Follow(endpoints, Following::kStore);
+  fixture.Follow(endpoints, FollowMode::kStore);
   fixture.context.run_for(time);
   return fixture.store.ConfigurationLists() - before;
 }
 
 TEST_CASE("a node on which others rely reads a configuration that its silent watch missed") {
-  CHECK(ListsWithin(Following::kForOthers, std::chrono::milliseconds(2'600)) >= 1);
+  CHECK(ListsWithin(FollowMode::kStoreForOthers, std::chrono::milliseconds(2'600)) >= 1);
   // All others get it from that node and do not list more often.
-  CHECK(ListsWithin(Following::kHolder, std::chrono::milliseconds(2'600)) == 0);
+  CHECK(ListsWithin(FollowMode::kHolder, std::chrono::milliseconds(2'600)) == 0);
 }
 
 TEST_CASE("a restarted node lists once and then makes no more store calls") {
@@ -97,10 +97,10 @@
   CHECK(fixture.store.ConfigurationLists() == 1);
   CHECK(fixture.store.Watches() == 0);
   // Continuing with the holder's digests needs no further call.
-  fixture.Follow(Following::kHolder, Following::kHolder);
+  fixture.Follow(FollowMode::kHolder, FollowMode::kHolder);
   fixture.context.run_for(std::chrono::milliseconds(300));
   CHECK(fixture.store.ConfigurationLists() == 1);
-  fixture.Follow(Following::kStore, Following::kHolder);
+  fixture.Follow(FollowMode::kStore, FollowMode::kHolder);
   fixture.context.run_for(std::chrono::milliseconds(300));
   CHECK(fixture.store.ConfigurationLists() == 1);
   CHECK(fixture.store.Watches() == 1);
--- a/src/rudderloom/fleet/fleet_state.cpp
+++ b/src/rudderloom/fleet/fleet_state.cpp
@@ -3,8 +3,8 @@
 #include <algorithm>  // for max
 #include <utility>    // for exchange
 
-#include "rudderloom/base/log_line.hpp"  // for LogLine
-#include "rudderloom/base/spread.hpp"    // for SpreadOf
+#include "rudderloom/base/log_line.hpp"         // for LogLine
+#include "rudderloom/base/stable_fraction.hpp"  // for StableFraction
 
 namespace rudderloom {
 
@@ -41,15 +41,15 @@
   return (std::hash<std::string>{}(incarnation) << kReportNumberBits) + 1;
 }
 
-SourceChoice MakeSource(const FleetSettings& settings, Duration bound) {
+SourceSelector MakeSource(const FleetSettings& settings, Duration bound) {
   const StartKind start = settings.first_start ? StartKind::kFirst : StartKind::kRestart;
-  return {MaxSharedAge(bound), start, SpreadOf(settings.name)};
+  return {MaxSharedAge(bound), start, StableFraction(settings.name)};
 }
 
 }  // namespace
 
-Followings FollowingsAtStart(const FleetSettings& settings) {
-  const Following following = settings.first_start ? Following::kHolder : Following::kStoreOnce;
+Followings InitialFollowings(const FleetSettings& settings) {
+  const FollowMode following = settings.first_start ? FollowMode::kHolder : FollowMode::kStoreOnce;
   return {following, following};
 }
 
@@ -59,7 +59,7 @@
       directory_(settings_.bounds.drain / kUnlistedRetentionDivisor),
       endpoint_source_(MakeSource(settings_, settings_.bounds.drain)),
       configuration_source_(MakeSource(settings_, settings_.bounds.configuration)),
-      followings_(FollowingsAtStart(settings_)),
+      followings_(InitialFollowings(settings_)),
       upstream_(settings_.listen.peers),
       lease_(settings_.listen.peers,
              incarnation_,
@@ -79,7 +79,7 @@
   FleetEffects effects;
   // The counts of many nodes arrive many times between two ticks: the next tick processes all of
   // them.
-  const bool counted = std::holds_alternative<fleet_message::PeerCounted>(any);
+  const bool counted = std::holds_alternative<fleet_message::PeerCountsReceived>(any);
   const bool granted = std::holds_alternative<fleet_message::RequestGranted>(any);
   if ((counted && live_nodes_ > kWorkIntervalNodes) || granted) {
     return effects;
@@ -134,7 +134,7 @@
   board_.Tick(now);
   sums_ = board_.Sums(now);
   const HeldLease lease{settings_.name, lease_.Epoch(), lease_.ValidUntil(), lease_.Announced()};
-  placement_.NoteLimits(limits_.ForTraffic());
+  placement_.SetEndpointLimits(limits_.ForTraffic());
   effects.placement = placement_.Tick(*routes_.Get().Current(), directory_.Endpoints(), board_,
                                       sums_.all, lease, now);
   PublishServing();
@@ -221,9 +221,9 @@
 }
 
 void FleetState::On(const fleet_message::NodeSampled& sampled, TimePoint now) {
-  board_.Counted(sampled.counts, now);
-  group_.CountedSelf(sampled.counts);
-  spending_.CountedSelf(sampled.counts.spending);
+  board_.RecordCounts(sampled.counts, now);
+  group_.RecordOwn(sampled.counts);
+  spending_.RecordOwn(sampled.counts.spending);
   RecordCrashNews(sampled.counts.crash_news, now);
   RecordLimits(sampled.counts.limits, now);
   for (const auto& [unit, count] : sampled.counts.units) {
@@ -231,13 +231,13 @@
   }
 }
 
-void FleetState::On(const fleet_message::PeerCounted& counted, TimePoint now) {
-  board_.Counted(counted.counts, now);
-  group_.Counted(counted.counts, now);
-  spending_.Counted(counted.counts.node, counted.counts.report_number, counted.counts.spending,
-                    now);
+void FleetState::On(const fleet_message::PeerCountsReceived& counted, TimePoint now) {
+  board_.RecordCounts(counted.counts, now);
+  group_.RecordMember(counted.counts, now);
+  spending_.RecordMember(counted.counts.node, counted.counts.report_number, counted.counts.spending,
+                         now);
   NotePeerRoutes(counted.counts.routes_version, now);
-  if (counted.counts.tells_era && counted.counts.endpoints_seen != StoreRevision()) {
+  if (counted.counts.has_era && counted.counts.endpoints_seen != StoreRevision()) {
     NoteEra(counted.counts.endpoints_seen.Era());
   }
   RecordCrashNews(counted.counts.crash_news, now);
@@ -246,7 +246,7 @@
 
 void FleetState::On(const fleet_message::EngineReported& reported, TimePoint now) {
   if (holds_lease_) {
-    placement_.Reported(reported.instance, reported.report, now);
+    placement_.OnReport(reported.instance, reported.report, now);
   }
   if (reported.report && directory_.ApplyReport(reported.instance, *reported.report)) {
     view_changed_ = true;
@@ -257,7 +257,7 @@
   placement_.OrderEnded(ended.order, ended.outcome, now);
 }
 
-void FleetState::On(const fleet_message::StopAsked&, TimePoint) {
+void FleetState::On(const fleet_message::StopRequested&, TimePoint) {
   stopping_ = true;
 }
 
@@ -324,12 +324,12 @@
     if (known.record.leaving) {
       continue;
     }
-    FleetEndpoint endpoint{known.record, known.gone_at.has_value(), {}};
+    FleetEndpoint endpoint{known.record, known.unlisted_since.has_value(), {}};
     if (const auto* served = placed ? serving_log_.Get().Find(instance) : nullptr) {
       endpoint.record.models = *served;
     }
     if (const auto load = loads.find(KeyOf(instance)); load != loads.end()) {
-      endpoint.others = load->second;
+      endpoint.other_nodes_load = load->second;
     }
     const auto index = static_cast<std::uint32_t>(view->endpoints.size());
     view->by_service[known.record.service].push_back(index);
--- a/src/rudderloom/fleet/fleet_state_test.cpp
+++ b/src/rudderloom/fleet/fleet_state_test.cpp
@@ -44,10 +44,10 @@
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::RoutesSeen{Routes(6)}, At(0));
   HolderDigest digest;
-  digest.holds = true;
+  digest.is_authoritative = true;
   digest.epoch = 1;
   digest.routes_version = 10;
-  state.Handle(fleet_message::DigestHeard{digest, ""}, At(100));
+  state.Handle(fleet_message::DigestReceived{digest, ""}, At(100));
   // The watch is given some time to deliver it.
   CHECK(ReadsUntil(state, 100, 400) == 0);
   CHECK(ReadsUntil(state, 400, 1'000) >= 1);
@@ -61,7 +61,7 @@
   NodeCounts counts;
   counts.node = "n2";
   counts.routes_version = 8;
-  state.Handle(fleet_message::PeerCounted{counts}, At(100));
+  state.Handle(fleet_message::PeerCountsReceived{counts}, At(100));
   CHECK(ReadsUntil(state, 100, 1'000) >= 1);
 }
 
@@ -70,7 +70,7 @@
   const auto write = TakeLease(state, 0);
   REQUIRE(write);
   state.Handle(fleet_message::LeaseWritten{Revision(1)}, At(5));
-  auto effects = state.Handle(fleet_message::StopAsked{}, At(100));
+  auto effects = state.Handle(fleet_message::StopRequested{}, At(100));
   REQUIRE(effects.lease_write);
   CHECK(effects.lease_write->record.released);
   CHECK_FALSE(effects.released);
@@ -91,7 +91,7 @@
 
 HolderDigest DigestOf(std::uint64_t version, const std::vector<EndpointRecord>& records) {
   HolderDigest digest;
-  digest.holds = true;
+  digest.is_authoritative = true;
   digest.epoch = 1;
   digest.endpoints.version = Revision(version);
   for (const EndpointRecord& record : records) {
@@ -102,8 +102,8 @@
 }
 
 // Ticks until `end`; returns the last change of how the endpoints are followed, if any.
-std::optional<Following> FollowingUntil(FleetState& state, int from, int end) {
-  std::optional<Following> following;
+std::optional<FollowMode> FollowingUntil(FleetState& state, int from, int end) {
+  std::optional<FollowMode> following;
   for (int ms = from; ms < end; ms += 50) {
     const auto effects = state.Handle(fleet_message::Tick{}, At(ms));
     following = effects.followings ? effects.followings->endpoints : following;
@@ -115,22 +115,23 @@
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1"), Endpoint("e2")}, Revision(10)},
                At(0));
-  std::optional<Following> following;
+  std::optional<FollowMode> following;
   for (int ms = 0; ms < 2'000; ms += 250) {
-    const auto effects = state.Handle(fleet_message::DigestHeard{DigestOf(10, {}), ""}, At(ms));
+    const auto effects = state.Handle(fleet_message::DigestReceived{DigestOf(10, {}), ""}, At(ms));
     following = effects.followings ? effects.followings->endpoints : following;
   }
-  CHECK(following == Following::kHolder);
+  CHECK(following == FollowMode::kHolder);
   // The holder's changes take effect at once; changes older than the node's own list do not.
-  auto effects =
-      state.Handle(fleet_message::DigestHeard{DigestOf(12, {Endpoint("e1", true)}), ""}, At(2'000));
+  auto effects = state.Handle(
+      fleet_message::DigestReceived{DigestOf(12, {Endpoint("e1", true)}), ""}, At(2'000));
   REQUIRE(effects.view);
   CHECK(effects.view->endpoints.size() == 1);
-  effects = state.Handle(fleet_message::DigestHeard{DigestOf(11, {Endpoint("e3")}), ""}, At(2'100));
+  effects =
+      state.Handle(fleet_message::DigestReceived{DigestOf(11, {Endpoint("e3")}), ""}, At(2'100));
   REQUIRE(effects.view);
   CHECK(effects.view->endpoints.size() == 1);
   CHECK(FollowingUntil(state, 2'100, 2'700) == std::nullopt);
-  CHECK(FollowingUntil(state, 2'700, 3'000) == Following::kStore);
+  CHECK(FollowingUntil(state, 2'700, 3'000) == FollowMode::kStore);
 }
 
 TEST_CASE("a late store answer older than the holder's digest changes nothing") {
@@ -139,7 +140,7 @@
                At(0));
   HolderDigest digest = DigestOf(20, {});
   digest.endpoints.gone = {"e1"};
-  state.Handle(fleet_message::DigestHeard{digest, ""}, At(100));
+  state.Handle(fleet_message::DigestReceived{digest, ""}, At(100));
   EndpointChanges late;
   late.version = Revision(15);
   late.values = {{"e1", Endpoint("e1")}};
@@ -158,7 +159,7 @@
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
   HolderDigest digest = DigestOf(10, {});
   digest.nodes = 8;
-  state.Handle(fleet_message::DigestHeard{digest, ""}, At(10));
+  state.Handle(fleet_message::DigestReceived{digest, ""}, At(10));
   REQUIRE(TakeLease(state, 100));
   state.Handle(fleet_message::LeaseWritten{Revision(1)}, At(110));
   auto effects = state.Handle(fleet_message::Tick{}, At(200));
@@ -176,19 +177,19 @@
   state.Handle(
       fleet_message::LeaseSeen{LeaseRecord{"n1:1", "y", 1, 1, false, {}, {}}, Revision(1), true},
       At(0));
-  state.Handle(fleet_message::LeaseUnread{}, At(10));
+  state.Handle(fleet_message::LeaseReadFailed{}, At(10));
   int reads = 0;
   for (int ms = 50; ms <= 2'000; ms += 50) {
     HolderDigest digest;
-    digest.holds = true;
+    digest.is_authoritative = true;
     digest.epoch = 1;
     digest.nodes = 64;
     digest.standby = standby;
     digest.renewals_fail = renewals_fail;
-    const auto effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(ms));
+    const auto effects = state.Handle(fleet_message::DigestReceived{digest, ""}, At(ms));
     if (effects.lease_read) {
       ++reads;
-      state.Handle(fleet_message::LeaseUnread{}, At(ms));
+      state.Handle(fleet_message::LeaseReadFailed{}, At(ms));
     }
   }
   return reads;
@@ -227,7 +228,7 @@
   for (int ms = 1'000; ms < 4'000; ms += 10) {
     NodeCounts counts;
     counts.node = "n" + std::to_string(ms / 10 % nodes);
-    take(fleet_message::PeerCounted{counts}, ms);
+    take(fleet_message::PeerCountsReceived{counts}, ms);
     take(fleet_message::Tick{}, ms);
   }
   return plans;
@@ -246,14 +247,14 @@
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
   HolderDigest digest = DigestOf(10, {});
   digest.nodes = 80;
-  state.Handle(fleet_message::DigestHeard{digest, ""}, At(10));
+  state.Handle(fleet_message::DigestReceived{digest, ""}, At(10));
   REQUIRE(TakeLease(state, 100));
   state.Handle(fleet_message::LeaseWritten{Revision(1)}, At(110));
   NodeCounts counts;
   counts.loads[KeyOf("e1")] = {2, 1, 640};
   for (int i = 0; i < 80; ++i) {
     counts.node = "n" + std::to_string(i + 2);
-    const auto effects = state.Handle(fleet_message::PeerCounted{counts}, At(200 + i));
+    const auto effects = state.Handle(fleet_message::PeerCountsReceived{counts}, At(200 + i));
     CHECK(effects.statement == nullptr);
   }
   const auto effects = state.Handle(fleet_message::Tick{}, At(300));
@@ -270,7 +271,7 @@
   auto effects = state.Handle(fleet_message::LeaseWritten{Revision(1)}, At(5));
   REQUIRE(effects.statement);
   REQUIRE(effects.followings);
-  CHECK(effects.followings->endpoints == Following::kForOthers);
+  CHECK(effects.followings->endpoints == FollowMode::kStoreForOthers);
   NodeCounts asking;
   asking.node = "n2";
   // At first it is not known whether there are relays to answer it.
@@ -328,21 +329,21 @@
   // A new version of the entry, as the holder sends it, does not include models.
   EndpointRecord moved = Endpoint("e1");
   moved.slots = 4;
-  moved.tells_models = false;
+  moved.includes_models = false;
   HolderDigest digest = DigestOf(12, {moved});
-  auto effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(100));
+  auto effects = state.Handle(fleet_message::DigestReceived{digest, ""}, At(100));
   REQUIRE(effects.view);
   CHECK(effects.view->endpoints.front().record.slots == 4);
   CHECK(FindModel(effects.view->endpoints.front().record.models, "m") != nullptr);
   digest.serving.version = 5;
   digest.serving.values = {{"e1", {{"n", 1, {}}}}};
-  effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(200));
+  effects = state.Handle(fleet_message::DigestReceived{digest, ""}, At(200));
   // A new holder that does not know the endpoint yet.
   digest.epoch = 2;
   digest.serving = ServingChanges();
   digest.serving.version = 6;
   digest.serving.whole = true;
-  effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(300));
+  effects = state.Handle(fleet_message::DigestReceived{digest, ""}, At(300));
   REQUIRE(effects.view);
   CHECK(FindModel(effects.view->endpoints.front().record.models, "n") != nullptr);
   CHECK(FindModel(effects.view->endpoints.front().record.models, "m") == nullptr);
@@ -354,9 +355,9 @@
   NodeCounts counts;
   counts.node = "n2";
   counts.endpoints_seen = StoreRevision(1, 4);
-  auto effects = state.Handle(fleet_message::PeerCounted{counts}, At(10));
+  auto effects = state.Handle(fleet_message::PeerCountsReceived{counts}, At(10));
   CHECK(effects.store_era == 1);
-  effects = state.Handle(fleet_message::PeerCounted{counts}, At(20));
+  effects = state.Handle(fleet_message::PeerCountsReceived{counts}, At(20));
   CHECK_FALSE(effects.store_era);
 }
 
@@ -366,14 +367,14 @@
   FleetState state(Settings("n1"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, Revision(10)}, At(0));
   HolderDigest digest = DigestOf(12, {Endpoint("e2")});
-  digest.tells_era = false;
-  auto effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(100));
+  digest.has_era = false;
+  auto effects = state.Handle(fleet_message::DigestReceived{digest, ""}, At(100));
   REQUIRE(effects.view);
   CHECK(effects.view->endpoints.size() == 2);
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, StoreRevision(1, 4)}, At(200));
   digest = DigestOf(40, {Endpoint("e3")});
-  digest.tells_era = false;
-  effects = state.Handle(fleet_message::DigestHeard{digest, ""}, At(300));
+  digest.has_era = false;
+  effects = state.Handle(fleet_message::DigestReceived{digest, ""}, At(300));
   // An endpoint that the backup lacks is kept for a while, in case its entry is written again.
   state.Handle(fleet_message::Tick{}, At(3'000));
   effects = state.Handle(fleet_message::Tick{}, At(5'000));
@@ -385,12 +386,12 @@
 TEST_CASE("a digest of an older era than this node's own confirms nothing") {
   FleetState state(Settings("n2"), "x");
   state.Handle(fleet_message::EndpointsListed{{Endpoint("e1")}, StoreRevision(1, 4)}, At(0));
-  std::optional<Following> following;
+  std::optional<FollowMode> following;
   for (int ms = 0; ms < 2'000; ms += 250) {
-    const auto effects = state.Handle(fleet_message::DigestHeard{DigestOf(10, {}), ""}, At(ms));
+    const auto effects = state.Handle(fleet_message::DigestReceived{DigestOf(10, {}), ""}, At(ms));
     following = effects.followings ? effects.followings->endpoints : following;
   }
-  CHECK(following != Following::kHolder);
+  CHECK(following != FollowMode::kHolder);
 }
 
 TEST_CASE("a late answer of an older era changes nothing, even if it found no object") {
--- a/src/rudderloom/fleet/fleet_suspension_test.cpp
+++ b/src/rudderloom/fleet/fleet_suspension_test.cpp
@@ -64,7 +64,7 @@
     }
   }
   CHECK(world.RoutesVersionOf(holder) == 7);
-  CHECK(world.WentBack() == 0);
+  CHECK(world.ConfigurationRegressions() == 0);
 }
 
 }  // namespace
--- a/src/rudderloom/fleet/holder_overload_test.cpp
+++ b/src/rudderloom/fleet/holder_overload_test.cpp
@@ -45,7 +45,7 @@
   FleetState state;
   std::deque<std::pair<int, fleet_message::Any>> inbox;
   int lag = 0;
-  std::shared_ptr<const Statement> statement;
+  std::shared_ptr<const DigestSource> statement;
   bool holds = false;
 };
 
@@ -77,7 +77,7 @@
       node.statement = effects.statement;
       // A relay's statement contains another node's state.
       const HolderDigest& told = effects.statement->common;
-      node.holds = told.holds && told.holder == node.name + ":1";
+      node.holds = told.is_authoritative && told.holder == node.name + ":1";
     }
   }
 
@@ -98,9 +98,9 @@
         NodeCounts counts;
         counts.node = node.name;
         counts.address = node.name + ":1";
-        holder.Enqueue(ms, fleet_message::PeerCounted{counts});
-        node.Enqueue(ms, fleet_message::DigestHeard{DigestFor(*holder.statement, counts, At(ms)),
-                                                    holder.name + ":1"});
+        holder.Enqueue(ms, fleet_message::PeerCountsReceived{counts});
+        node.Enqueue(ms, fleet_message::DigestReceived{DigestFor(*holder.statement, counts, At(ms)),
+                                                       holder.name + ":1"});
       }
     }
   }
@@ -215,7 +215,7 @@
   void Tick(int ms, int lag) {
     NodeCounts counts;
     counts.node = "n2";
-    Take(fleet_message::PeerCounted{counts}, ms);
+    Take(fleet_message::PeerCountsReceived{counts}, ms);
     Take(fleet_message::Tick{At(ms - lag)}, ms);
   }
 
@@ -243,7 +243,7 @@
     }
   }
   SUBCASE("by a stopping holder") {
-    holder.Take(fleet_message::StopAsked{}, 6'050);
+    holder.Take(fleet_message::StopRequested{}, 6'050);
     holder.Tick(6'100, 0);
   }
   CHECK_FALSE(holder.released);
--- a/src/rudderloom/fleet/instance_tracker_test.cpp
+++ b/src/rudderloom/fleet/instance_tracker_test.cpp
@@ -9,7 +9,7 @@
   EndpointRecord record;
   record.id = id;
   record.born = born;
-  record.instance = LifeName(id, born);
+  record.instance = InstanceName(id, born);
   record.service = "pool";
   return record;
 }
@@ -25,7 +25,7 @@
   changes = tracker.TakeChanges();
   REQUIRE(changes.values.size() == 1);
   CHECK(changes.values.front().second.born == 2'000);
-  CHECK(changes.gone == std::vector<std::string>{LifeName("e1", 1'000)});
+  CHECK(changes.gone == std::vector<std::string>{InstanceName("e1", 1'000)});
 }
 
 TEST_CASE("a late entry of an earlier instance is dropped") {
@@ -52,12 +52,13 @@
   tracker.Remove("e1");
   changes = tracker.TakeChanges();
   CHECK(changes.values.empty());
-  CHECK(changes.gone == std::vector<std::string>{LifeName("e1", 1'000), LifeName("e1", 2'000)});
+  CHECK(changes.gone ==
+        std::vector<std::string>{InstanceName("e1", 1'000), InstanceName("e1", 2'000)});
 }
 
 TEST_CASE("instances of one endpoint have distinct names") {
-  CHECK(LifeName("e1", 0) == "e1");
-  CHECK(LifeName("e1", 1'790'000'000'000) != LifeName("e1", 1'790'000'000'001));
+  CHECK(InstanceName("e1", 0) == "e1");
+  CHECK(InstanceName("e1", 1'790'000'000'000) != InstanceName("e1", 1'790'000'000'001));
 }
 
 }  // namespace
--- a/src/rudderloom/forwarding/admission_test.cpp
+++ b/src/rudderloom/forwarding/admission_test.cpp
@@ -61,7 +61,7 @@
   CHECK(times.FirstEventTime("pool", "m", 5'000) == Duration(0));
   for (int i = 0; i < 50; ++i) {
     const std::uint64_t tokens = 100 + static_cast<std::uint64_t>(i) * 100;
-    times.Served("pool", "slow", tokens, Duration(tokens * 5));
+    times.RecordAnswer("pool", "slow", tokens, Duration(tokens * 5));
     times.RecordFirstEvent("pool", "slow", tokens, Duration(40 + tokens / 40));
   }
   CHECK(times.HoldTime("pool", "slow", 200) == Duration(1'000));
@@ -72,7 +72,7 @@
   CHECK(times.TokensPerMillisecond("pool", "slow") > 35.0);
   CHECK(times.TokensPerMillisecond("pool", "slow") < 45.0);
   for (int i = 0; i < 10; ++i) {
-    times.Served("pool", "fast", 200, Duration(150));
+    times.RecordAnswer("pool", "fast", 200, Duration(150));
   }
   CHECK(times.HoldTime("pool", "fast", 400) == Duration(300));
   CHECK(times.HoldTime("elsewhere", "fast", 400) == Duration(0));
@@ -84,16 +84,16 @@
   service.engine->models.push_back({"m", 1, Duration(6'000), Duration(1'000), 1});
   MissingUnits missing;
   const UnitName model{"pool", "m", ""};
-  const TimePoint expected = missing.Missed(model, &service, At(0));
+  const TimePoint expected = missing.RecordMissing(model, &service, At(0));
   CHECK(expected > At(6'000));
   CHECK(expected < At(8'000));
-  CHECK(missing.Missed(model, &service, At(3'000)) == expected);
+  CHECK(missing.RecordMissing(model, &service, At(3'000)) == expected);
   // Overdue by 6 s: another quarter of the time missing is expected.
-  CHECK(missing.Missed(model, &service, At(12'000)) == At(15'000));
+  CHECK(missing.RecordMissing(model, &service, At(12'000)) == At(15'000));
   missing.MarkResident(model);
-  CHECK(missing.Missed(model, &service, At(13'000)) > At(19'000));
-  CHECK(missing.Missed({"pool", "m", "a1"}, &service, At(0)) < At(1'000));
-  CHECK(missing.Missed({"pool", "unknown", ""}, &service, At(0)) > At(20'000));
+  CHECK(missing.RecordMissing(model, &service, At(13'000)) > At(19'000));
+  CHECK(missing.RecordMissing({"pool", "m", "a1"}, &service, At(0)) < At(1'000));
+  CHECK(missing.RecordMissing({"pool", "unknown", ""}, &service, At(0)) > At(20'000));
 }
 
 }  // namespace
--- a/src/rudderloom/forwarding/attempt.cpp
+++ b/src/rudderloom/forwarding/attempt.cpp
@@ -121,7 +121,7 @@
         request.insert(field.name_string(), field.value());
       }
     }
-    SendTerms terms;
+    ForwardMetadata terms;
     terms.endpoint = params_.endpoint.id;
     terms.caller = params_.caller;
     terms.time_left = Between(Now(), params_.deadline_at) - kEndpointDeadlineMargin;
@@ -364,7 +364,7 @@
   AttemptParams params_;
   std::unique_ptr<EndpointConnection> connection_;
   unsigned status_ = 0;
-  AnswerTerms terms_;
+  AnswerMetadata terms_;
   bool reused_ = false;  // the connection has carried another request before
   TimePoint sent_at_;
 };
--- a/src/rudderloom/forwarding/attempt.hpp
+++ b/src/rudderloom/forwarding/attempt.hpp
@@ -39,7 +39,7 @@
 
 struct AttemptParams {
   EndpointRecord endpoint;
-  const RequestTerms* terms = nullptr;
+  const RequestMetadata* terms = nullptr;
   const Route* route = nullptr;
   TimePoint deadline_at;
   CallerMetadata caller;
--- a/src/rudderloom/forwarding/balancer.cpp
+++ b/src/rudderloom/forwarding/balancer.cpp
@@ -49,34 +49,35 @@
   return MixBits(prompt ^ std::hash<std::string>{}(instance));
 }
 
-LimitStanding StandingOf(const FleetView& view,
-                         const BalancerQuery& query,
-                         const std::string& instance,
-                         TimePoint now) {
-  return query.limits == nullptr ? LimitStanding::kUnlimited
-                                 : query.limits->StandingOf(KeyOf(instance), view.live_nodes, now);
+LimitState LimitStateOf(const FleetView& view,
+                        const BalancerQuery& query,
+                        const std::string& instance,
+                        TimePoint now) {
+  return query.limits == nullptr
+             ? LimitState::kUnlimited
+             : query.limits->LimitStateOf(KeyOf(instance), view.live_nodes, now);
 }
 
 // An endpoint without recent answers is preferred, since only its answers show that its limit has
 // ended.
-double LimitCost(LimitStanding standing) {
+double LimitCost(LimitState standing) {
   switch (standing) {
-    case LimitStanding::kLimited:
+    case LimitState::kLimited:
       return kLimitedCost;
-    case LimitStanding::kUnobserved:
+    case LimitState::kUnobserved:
       return -kLimitedCost;
-    case LimitStanding::kUnlimited:
-    case LimitStanding::kRefused:
+    case LimitState::kUnlimited:
+    case LimitState::kRefused:
       return 0.0;
   }
   return 0.0;
 }
 
-std::string UnitOf(const RequestTerms& terms) {
+std::string UnitOf(const RequestMetadata& terms) {
   return terms.model + "/" + terms.adapter;
 }
 
-bool Holds(const EndpointRecord& record, const RequestTerms& terms) {
+bool Holds(const EndpointRecord& record, const RequestMetadata& terms) {
   if (terms.model.empty()) {
     return true;
   }
@@ -86,7 +87,7 @@
 
 }  // namespace
 
-std::uint64_t PromptPrefixHash(const RequestTerms& terms, std::size_t count) {
+std::uint64_t PromptPrefixHash(const RequestMetadata& terms, std::size_t count) {
   std::uint64_t hash = std::hash<std::string>{}(terms.model + "/" + terms.adapter);
   for (std::size_t i = 0; i < std::min(count, terms.prompt.size()); ++i) {
     hash = MixBits(hash * 31 + terms.prompt[i].id);
@@ -94,7 +95,7 @@
   return hash;
 }
 
-std::uint64_t Balancer::UnreadTokens(const Endpoint& endpoint, const RequestTerms& terms) const {
+std::uint64_t Balancer::UnreadTokens(const Endpoint& endpoint, const RequestMetadata& terms) const {
   std::uint64_t unread = terms.tokens_in;
   for (std::size_t i = 0; i < terms.prompt.size(); ++i) {
     if (!endpoint.cached_prefixes.contains(PromptPrefixHash(terms, i + 1))) {
@@ -131,9 +132,9 @@
     if (not_resident != own.not_resident_until.end() && now < not_resident->second) {
       continue;
     }
-    const LimitStanding standing = StandingOf(view, query, record.instance, now);
-    const bool rate_limited = standing != LimitStanding::kUnlimited;
-    if (standing == LimitStanding::kRefused || (rate_limited && query.skip_limited)) {
+    const LimitState standing = LimitStateOf(view, query, record.instance, now);
+    const bool rate_limited = standing != LimitState::kUnlimited;
+    if (standing == LimitState::kRefused || (rate_limited && query.skip_limited)) {
       found.any_rate_limited = true;
       continue;
     }
@@ -144,7 +145,7 @@
     candidate.slots = record.slots;
     candidate.own = own.load;
     candidate.load = own.load;
-    candidate.load += listed_endpoint.others;
+    candidate.load += listed_endpoint.other_nodes_load;
     candidate.base_cost += record.availability_zone != availability_zone_ ? kOtherZoneCost : 0.0;
     candidate.base_cost += now < own.avoid_until ? kAvoidCost : 0.0;
     candidate.base_cost += listed_endpoint.last_resort ? kLastResortCost : 0.0;
@@ -294,10 +295,10 @@
   return choice;
 }
 
-void Balancer::Started(const std::string& instance,
-                       const RequestTerms& terms,
-                       const EndpointLoad& added_load,
-                       TimePoint now) {
+void Balancer::RequestStarted(const std::string& instance,
+                              const RequestMetadata& terms,
+                              const EndpointLoad& added_load,
+                              TimePoint now) {
   Endpoint& endpoint = endpoints_[instance];
   endpoint.load += added_load;
   for (std::size_t i = 0; i < terms.prompt.size(); ++i) {
@@ -330,7 +331,7 @@
 }
 
 void Balancer::MarkNotResident(const std::string& instance,
-                               const RequestTerms& terms,
+                               const RequestMetadata& terms,
                                TimePoint now) {
   endpoints_[instance].not_resident_until[UnitOf(terms)] = now + kNotResidentTime;
 }
--- a/src/rudderloom/forwarding/crash_check.cpp
+++ b/src/rudderloom/forwarding/crash_check.cpp
@@ -1,19 +1,19 @@
 #include "forwarding/crash_check.hpp"
 
-#include "rudderloom/http/listening.hpp"  // for NobodyListens
+#include "rudderloom/http/connection_probe.hpp"  // for IsConnectionRefused
 
 namespace rudderloom {
 
 namespace {
 
 void RequestSampleIfNews(ForwardingState& state) {
-  if (state.crashes.HasNews()) {
+  if (state.crashes.HasObservations()) {
     state.sample_soon();
   }
 }
 
 Awaitable<void> CheckListening(ForwardingState& state, EndpointRecord endpoint) {
-  const bool ended = co_await NobodyListens(state.context, endpoint.address, kListeningAnswer);
+  const bool ended = co_await IsConnectionRefused(state.context, endpoint.address, kProbeTimeout);
   if (ended) {
     RecordEndpointEnd(state, endpoint);
   }
@@ -25,7 +25,7 @@
                            const EndpointRecord& endpoint,
                            const RequestDigest& request,
                            TimePoint sent_at) {
-  if (state.crashes.Broke(endpoint.instance, request, sent_at, Now())) {
+  if (state.crashes.RecordFailure(endpoint.instance, request, sent_at, Now())) {
     asio::co_spawn(state.context, CheckListening(state, endpoint), asio::detached);
   }
   RequestSampleIfNews(state);
--- a/src/rudderloom/forwarding/endpoint_connection.cpp
+++ b/src/rudderloom/forwarding/endpoint_connection.cpp
@@ -8,7 +8,7 @@
 #include <limits>     // for numeric_limits
 #include <sstream>    // for ostringstream
 
-#include "rudderloom/http/client.hpp"  // for ParseAddress, GuardAgainstSilence
+#include "rudderloom/http/client.hpp"  // for ParseAddress, EnableDeadPeerDetection
 
 namespace rudderloom {
 
@@ -39,7 +39,7 @@
   }
   boost::system::error_code ignored;
   socket_.set_option(tcp::no_delay(true), ignored);
-  GuardAgainstSilence(socket_, kPeerSilenceLimit);
+  EnableDeadPeerDetection(socket_, kPeerSilenceLimit);
   co_return std::nullopt;
 }
 
--- a/src/rudderloom/forwarding/forwarder.cpp
+++ b/src/rudderloom/forwarding/forwarder.cpp
@@ -138,8 +138,7 @@
     }
     ++permit_requests_;
     const Duration patience = Between(Now(), LatestStart());
-    const Duration max_wait =
-        last_choice_.has_unlimited_alternative ? Duration(0) : kMostPermitWait;
+    const Duration max_wait = last_choice_.has_unlimited_alternative ? Duration(0) : kMaxPermitWait;
     co_return co_await AcquirePermit(state_, *guard_, endpoint, std::min(patience, max_wait));
   }
 
@@ -157,7 +156,7 @@
     const std::vector<UnitName> units = RequestedUnits(service_, terms_);
     // An adapter is never resident without its model, and it is not known here which of them is
     // missing.
-    const TimePoint estimated = state_.missing.Missed(units.back(), service, Now());
+    const TimePoint estimated = state_.missing.RecordMissing(units.back(), service, Now());
     const auto announced = FindExpected(state_.views.Current()->load_forecast, units.back());
     if (!announced) {
       return estimated;
@@ -178,7 +177,7 @@
       co_return true;
     }
     if (reason == NoEndpointReason::kRateLimited) {
-      retry_delay_ = state_.limits.LeastWait(Now());
+      retry_delay_ = state_.limits.MinWait(Now());
       co_await Refuse(ForwardRefusal::kEndpointLimit);
       co_return false;
     }
@@ -232,7 +231,7 @@
     params.answer_timeout = AnswerTimeout();
     params.event_timeout = route_->longest_pause * kEventTimeoutPauses;
     params.stream = &stream_;
-    state_.balancer.Started(endpoint.instance, terms_, added_load, started);
+    state_.balancer.RequestStarted(endpoint.instance, terms_, added_load, started);
     params.on_answer_started = [&] {
       state_.balancer.AnswerStarted(endpoint.instance, added_load);
     };
@@ -432,7 +431,7 @@
   ForwardingState& state_;
   HttpExchange& exchange_;
   const TimePoint arrived_;
-  const RequestTerms terms_;
+  const RequestMetadata terms_;
   RequestChecks checks_;
   RouteTablePtr routes_;
   const Route* route_ = nullptr;
--- a/src/rudderloom/forwarding/forwarding_test.cpp
+++ b/src/rudderloom/forwarding/forwarding_test.cpp
@@ -2,9 +2,9 @@
 
 #include <algorithm>  // for count_if
 
-#include "rudderloom/forwarding/balancer.hpp"         // for Balancer
-#include "rudderloom/forwarding/event_framer.hpp"     // for EventFramer
-#include "rudderloom/forwarding/retry_allowance.hpp"  // for RetryAllowance
+#include "rudderloom/forwarding/balancer.hpp"      // for Balancer
+#include "rudderloom/forwarding/event_framer.hpp"  // for EventFramer
+#include "rudderloom/forwarding/retry_budget.hpp"  // for RetryBudget
 
 namespace rudderloom {
 namespace {
@@ -49,19 +49,19 @@
   constexpr int kNodes = 8;
   constexpr double kRatio = 0.2;
   constexpr double kExtra = 54.0;
-  std::vector<RetryAllowance> nodes(kNodes, RetryAllowance({kRatio, kExtra, Duration(10'000)}));
+  std::vector<RetryBudget> nodes(kNodes, RetryBudget({kRatio, kExtra, Duration(10'000)}));
   std::vector<int> retries;
   std::vector<int> requests;
   std::mt19937_64 random(7);
   for (int ms = 0; ms < 60'000; ms += 5) {
     const bool busy = ms % 20'000 < 9'000;
-    RetryAllowance& node = nodes[random() % kNodes];
+    RetryBudget& node = nodes[random() % kNodes];
     if (busy || random() % 10 == 0) {
       node.CountRequest("s", At(ms));
       requests.push_back(ms);
     }
     // Every request fails, so each node retries as often as it may.
-    for (RetryAllowance& each : nodes) {
+    for (RetryBudget& each : nodes) {
       if (each.Spend("s", kNodes, At(ms))) {
         retries.push_back(ms);
       }
@@ -96,8 +96,8 @@
   return view;
 }
 
-RequestTerms MakeRequest(std::uint64_t common, std::uint64_t own) {
-  RequestTerms terms;
+RequestMetadata MakeRequest(std::uint64_t common, std::uint64_t own) {
+  RequestMetadata terms;
   terms.model = "m";
   terms.tokens_in = 9'000;
   terms.tokens_out = 50;
@@ -112,22 +112,23 @@
   const std::set<std::string> none;
   std::map<std::uint32_t, int> chosen;
   for (std::uint64_t i = 0; i < 40; ++i) {
-    const RequestTerms terms = MakeRequest(77, 1'000 + i);
+    const RequestMetadata terms = MakeRequest(77, 1'000 + i);
     const auto choice = std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0)));
     const std::string& instance = view.endpoints[choice.index].record.instance;
     ++chosen[choice.index];
     EndpointLoad added_load = choice.added_load;
-    balancer.Started(instance, terms, added_load, At(0));
+    balancer.RequestStarted(instance, terms, added_load, At(0));
     balancer.RequestEnded(instance, added_load, EndpointFeedback::kServed, At(0));
   }
   CHECK(chosen.size() == 1);
   // Concurrent requests are spread over all endpoints.
   chosen.clear();
   for (std::uint64_t i = 0; i < 16; ++i) {
-    const RequestTerms terms = MakeRequest(77, 2'000 + i);
+    const RequestMetadata terms = MakeRequest(77, 2'000 + i);
     const auto choice = std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0)));
     ++chosen[choice.index];
-    balancer.Started(view.endpoints[choice.index].record.instance, terms, choice.added_load, At(0));
+    balancer.RequestStarted(view.endpoints[choice.index].record.instance, terms, choice.added_load,
+                            At(0));
   }
   CHECK(chosen.size() == 4);
 }
@@ -139,7 +140,7 @@
   FleetView view = MakeView(endpoints);
   view.live_nodes = kNodes;
   for (std::size_t i = 0; i < view.endpoints.size(); ++i) {
-    view.endpoints[i].others.requests = 6 + static_cast<std::uint32_t>(i);
+    view.endpoints[i].other_nodes_load.requests = 6 + static_cast<std::uint32_t>(i);
   }
   const std::set<std::string> none;
   std::map<std::uint32_t, int> chosen;
@@ -147,9 +148,9 @@
   for (int node = 0; node < requests; ++node) {
     Balancer balancer("z", static_cast<std::uint64_t>(node));
     for (int i = 0; i < 10; ++i) {
-      balancer.Times().Served("s", "m", 50, Duration(600));
+      balancer.Times().RecordAnswer("s", "m", 50, Duration(600));
     }
-    RequestTerms terms = MakeRequest(7, 8);
+    RequestMetadata terms = MakeRequest(7, 8);
     terms.prompt.clear();
     const auto choice =
         std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(10'000)));
@@ -164,13 +165,13 @@
 
 TEST_CASE("the forecast counts taken slots and treats deferred requests separately") {
   FleetView view = MakeView(1);
-  view.endpoints[0].others = {24, 12, 0};
+  view.endpoints[0].other_nodes_load = {24, 12, 0};
   Balancer balancer("z", 1);
   for (int i = 0; i < 10; ++i) {
-    balancer.Times().Served("s", "m", 50, Duration(800));
+    balancer.Times().RecordAnswer("s", "m", 50, Duration(800));
   }
   const std::set<std::string> none;
-  const RequestTerms terms = MakeRequest(1, 2);
+  const RequestMetadata terms = MakeRequest(1, 2);
   const auto choice = std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0)));
   // Eight slots: 12 requests are ahead if admitted, 24 if deferred.
   CHECK(choice.forecast.if_admitted == Duration(500));
@@ -184,7 +185,7 @@
   view.endpoints[0].record.models.push_back({"other", 1, {}});
   Balancer balancer("z", 1);
   const std::set<std::string> none;
-  RequestTerms terms = MakeRequest(1, 2);
+  RequestMetadata terms = MakeRequest(1, 2);
   balancer.MarkNotResident("i0", terms, At(0));
   CHECK(std::get<NoEndpointReason>(balancer.Choose(view, {"s", terms, none}, At(1'000))) ==
         NoEndpointReason::kNotResident);
@@ -198,7 +199,7 @@
   const FleetView view = MakeView(3);
   Balancer balancer("z", 1);
   const std::set<std::string> none;
-  RequestTerms terms = MakeRequest(1, 2);
+  RequestMetadata terms = MakeRequest(1, 2);
   terms.adapter = "a1";
   CHECK(std::get<EndpointChoice>(balancer.Choose(view, {"s", terms, none}, At(0))).index == 0);
   terms.adapter = "a2";
--- a/src/rudderloom/forwarding/front.cpp
+++ b/src/rudderloom/forwarding/frontend.cpp
@@ -1,12 +1,12 @@
-#include "rudderloom/forwarding/front.hpp"
+#include "rudderloom/forwarding/frontend.hpp"
 
 #include <set>  // for set
 
-#include "forwarding/crash_check.hpp"      // for RecordCleared
-#include "forwarding/quarantine_page.hpp"  // for AnswerQuarantinePage
-#include "rudderloom/base/log_line.hpp"    // for LogLine
-#include "rudderloom/base/spread.hpp"      // for SpreadOf
-#include "rudderloom/http/pause.hpp"       // for PauseFor
+#include "forwarding/crash_check.hpp"           // for RecordCleared
+#include "forwarding/quarantine_page.hpp"       // for AnswerQuarantinePage
+#include "rudderloom/base/log_line.hpp"         // for LogLine
+#include "rudderloom/base/stable_fraction.hpp"  // for StableFraction
+#include "rudderloom/http/pause.hpp"            // for PauseFor
 
 namespace rudderloom {
 
@@ -61,13 +61,13 @@
 
 }  // namespace
 
-FleetFront::FleetFront(asio::io_context& context,
-                       const FleetSettings& settings,
-                       const Dialect& dialect,
-                       Metrics& metrics,
-                       std::function<void(NodeCounts)> on_sample,
-                       AskHolder ask_holder,
-                       AskForPermit ask_for_permit)
+FleetFrontend::FleetFrontend(asio::io_context& context,
+                             const FleetSettings& settings,
+                             const HeaderCodec& dialect,
+                             Metrics& metrics,
+                             std::function<void(NodeCounts)> on_sample,
+                             QuotaRequestFunction ask_holder,
+                             PermitRequestFunction ask_for_permit)
     : context_(context),
       settings_(settings),
       metrics_(metrics),
@@ -75,16 +75,16 @@
              dialect,
              metrics,
              Balancer(settings.availability_zone, std::hash<std::string>{}(settings.name)),
-             RetryAllowance({settings.bounds.retry_ratio, settings.bounds.retry_extra,
-                             settings.bounds.retry_window}),
+             RetryBudget({settings.bounds.retry_ratio, settings.bounds.retry_extra,
+                          settings.bounds.retry_window}),
              QuotaAccount(settings.bounds.quota),
              CrashWatch(),
-             LimitWatch(SpreadOf(settings.name)),
+             LimitWatch(StableFraction(settings.name)),
              {},
              {},
              {},
              {},
-             LogQuota(settings.log_lines_per_second),
+             LogRateLimiter(settings.log_lines_per_second),
              std::mt19937_64(std::hash<std::string>{}(settings.name)),
              false,
              Now() + kStartupConfigurationWait,
@@ -101,7 +101,7 @@
       on_sample_(std::move(on_sample)),
       sample_timer_(context) {}
 
-std::shared_ptr<HttpServer> FleetFront::MakeServer(
+std::shared_ptr<HttpServer> FleetFrontend::MakeServer(
     std::function<Awaitable<void>(HttpExchange&)> handle) {
   HttpHandlers handlers;
   handlers.handle = std::move(handle);
@@ -112,7 +112,7 @@
   return std::make_shared<HttpServer>(context_, HttpLimits(), std::move(handlers));
 }
 
-FleetListeners FleetFront::Start() {
+FleetListeners FleetFrontend::Start() {
   FleetListeners bound = settings_.listen;
   bound.readiness = Listen(*readiness_, settings_.listen.readiness);
   bound.callers = Listen(*server_, settings_.listen.callers);
@@ -125,7 +125,7 @@
 }
 
 // Samples periodically, and early when a request asks for it through `sample_soon`.
-Awaitable<void> FleetFront::SampleLoop() {
+Awaitable<void> FleetFrontend::SampleLoop() {
   while (true) {
     if (!sample_requested_) {
       sample_timer_.expires_after(kSampleInterval);
@@ -137,14 +137,14 @@
   }
 }
 
-void FleetFront::Sample() {
+void FleetFrontend::Sample() {
   NodeCounts counts;
   counts.node = settings_.name;
   counts.loads = state_.balancer.Loads();
   counts.units = state_.units;
   counts.spending = state_.quota.Take(Now());
   counts.crash_news = state_.crashes.Take();
-  counts.limits = WithAges(state_.limits.Take(), Now());
+  counts.limits = ToSentLimits(state_.limits.Take(), Now());
   std::erase_if(state_.units, [](const auto& entry) {
     return entry.second.running == 0 && entry.second.waiting == 0;
   });
@@ -154,18 +154,18 @@
   on_sample_(std::move(counts));
 }
 
-void FleetFront::Use(FleetViewPtr view) {
+void FleetFrontend::SetView(FleetViewPtr view) {
   if (view->routes) {
     server_->SetLimits(LimitsOf(view->routes->Limits()));
   }
-  state_.quota.Heard(view->quota, Now());
+  state_.quota.ApplyDigest(view->quota, Now());
   state_.limits.Received(view->limits);
   metrics_.Set({"rudderloom_quarantined_requests"},
                view->quarantine ? static_cast<double>(view->quarantine->quarantined.size()) : 0.0);
-  state_.views.Use(std::move(view));
+  state_.views.SetView(std::move(view));
 }
 
-void FleetFront::BeginStop(TimePoint stop_deadline) {
+void FleetFrontend::BeginStop(TimePoint stop_deadline) {
   stopping_ = true;
   state_.stop_deadline = stop_deadline;
   state_.stopping = true;
@@ -173,29 +173,29 @@
   server_->CloseAfterAnswers();
 }
 
-void FleetFront::StopAccepting() {
+void FleetFrontend::StopAccepting() {
   server_->Stop();
 }
 
-void FleetFront::InterruptRequests() {
+void FleetFrontend::InterruptRequests() {
   for (CallGuard* guard : state_.guards) {
     guard->ExpireDeadline();
   }
 }
 
-bool FleetFront::Ready() const {
+bool FleetFrontend::Ready() const {
   const FleetViewPtr& view = state_.views.Current();
   return !stopping_ && view->routes && view->endpoints_known;
 }
 
-Awaitable<void> FleetFront::AnswerReadiness(HttpExchange& exchange) {
+Awaitable<void> FleetFrontend::AnswerReadiness(HttpExchange& exchange) {
   Reply reply;
   reply.status = Ready() ? 200 : 503;
   reply.body = Ready() ? "{\"ready\":true}" : "{\"ready\":false}";
   co_await exchange.Send(std::move(reply));
 }
 
-Awaitable<void> FleetFront::AnswerMetrics(HttpExchange& exchange) {
+Awaitable<void> FleetFrontend::AnswerMetrics(HttpExchange& exchange) {
   auto page = AnswerQuarantinePage(exchange.Request(), state_.views.Current()->quarantine);
   if (page) {
     if (page->cleared) {
@@ -211,7 +211,7 @@
   co_await exchange.Send(std::move(reply));
 }
 
-Awaitable<void> FleetFront::TrimLoop() {
+Awaitable<void> FleetFrontend::TrimLoop() {
   while (true) {
     co_await PauseFor(context_, kTrimInterval);
     const FleetViewPtr view = state_.views.Current();
--- a/src/rudderloom/forwarding/limit_check.cpp
+++ b/src/rudderloom/forwarding/limit_check.cpp
@@ -32,7 +32,7 @@
 
 void RecordLimit(ForwardingState& state,
                  const EndpointRecord& endpoint,
-                 const AnswerTerms& answer,
+                 const AnswerMetadata& answer,
                  TimePoint sent_at) {
   // A refusal without a limit does not mean that the endpoint has none.
   const bool announces_none = answer.limit.kind == LimitAnnouncement::Kind::kNone;
@@ -68,12 +68,12 @@
   const std::string granter = PermitGranter(*state.views.Current(), Now());
   std::optional<PermitAnswer> answer;
   if (!granter.empty()) {
-    const PermitAsk ask{key, *limit, std::max(Duration(0), max_wait)};
+    const PermitRequest ask{key, *limit, std::max(Duration(0), max_wait)};
     const auto send = [&](auto done) { state.ask_for_permit(granter, ask, std::move(done)); };
     answer = co_await AwaitAnswer<PermitAnswer>(state.context, send);
   }
   if (!answer || answer->verdict == PermitVerdict::kNotGranting) {
-    if (state.limits.MaySendUnasked(key, nodes, Now())) {
+    if (state.limits.MaySendWithoutPermit(key, nodes, Now())) {
       state.metrics.Count({"rudderloom_permits_total", "result", "unasked"});
       co_return true;
     }
@@ -81,7 +81,7 @@
     state.limits.Refused(key, kPermitRetryDelay, nodes, Now());
     co_return false;
   }
-  state.limits.Asked(key);
+  state.limits.GranterAnswered(key);
   state.metrics.Count({"rudderloom_permits_total", "result", NameOf(answer->verdict)});
   if (answer->verdict == PermitVerdict::kRefused) {
     state.limits.Refused(key, answer->wait, nodes, Now());
--- a/src/rudderloom/forwarding/limit_check.hpp
+++ b/src/rudderloom/forwarding/limit_check.hpp
@@ -10,7 +10,7 @@
 // Records the limit announced in an endpoint's answer to a request that was sent at `sent_at`.
 void RecordLimit(ForwardingState& state,
                  const EndpointRecord& endpoint,
-                 const AnswerTerms& answer,
+                 const AnswerMetadata& answer,
                  TimePoint sent_at);
 
 // Asks for a permit if the endpoint has a limit, and waits until the request may be sent. Returns
--- a/src/rudderloom/forwarding/missing_units.cpp
+++ b/src/rudderloom/forwarding/missing_units.cpp
@@ -24,7 +24,7 @@
 
 }  // namespace
 
-std::vector<UnitName> RequestedUnits(const std::string& service, const RequestTerms& terms) {
+std::vector<UnitName> RequestedUnits(const std::string& service, const RequestMetadata& terms) {
   std::vector<UnitName> units;
   if (!terms.model.empty()) {
     units.push_back({service, terms.model, ""});
@@ -35,7 +35,9 @@
   return units;
 }
 
-TimePoint MissingUnits::Missed(const UnitName& unit, const ServiceSpec* service, TimePoint now) {
+TimePoint MissingUnits::RecordMissing(const UnitName& unit,
+                                      const ServiceSpec* service,
+                                      TimePoint now) {
   Missing& missing = missing_.try_emplace(unit, Missing{now, now}).first->second;
   missing.last_asked = now;
   const TimePoint expected = missing.since + LoadTimeOf(unit, service);
--- a/src/rudderloom/forwarding/quota_grant.cpp
+++ b/src/rudderloom/forwarding/quota_grant.cpp
@@ -12,16 +12,16 @@
 
 }  // namespace
 
-std::uint64_t AmountOf(const QuotaLimit& limit, const RequestTerms& terms) {
+std::uint64_t AmountOf(const QuotaLimit& limit, const RequestMetadata& terms) {
   if (limit.unit == QuotaUnit::kRequests) {
     return 1;
   }
-  return terms.names_tokens ? terms.most_tokens : limit.plain_tokens;
+  return terms.declares_tokens ? terms.token_limit : limit.default_tokens;
 }
 
 QuotaGrant::~QuotaGrant() {
   if (granted_ && !may_have_run_) {
-    state_.quota.GiveBack(spend_.customer, spend_.amount);
+    state_.quota.Refund(spend_.customer, spend_.amount);
   }
 }
 
@@ -32,14 +32,14 @@
 }
 
 Awaitable<std::optional<Duration>> QuotaGrant::Acquire(const Customer& customer,
-                                                       const RequestTerms& terms) {
+                                                       const RequestMetadata& terms) {
   if (!customer.quota.Limited()) {
     co_return std::nullopt;
   }
   spend_ = {CustomerKeyOf(customer.name), AmountOf(customer.quota, terms)};
-  state_.quota.Asked(spend_.customer, customer.quota, spend_.amount, Now());
+  state_.quota.RecordRequest(spend_.customer, customer.quota, spend_.amount, Now());
   const FleetViewPtr view = state_.views.Current();
-  const bool state_fresh = state_.quota.WordFresh(Now());
+  const bool state_fresh = state_.quota.HasFreshDigest(Now());
   const std::string granter = state_fresh ? view->quota_holder : view->quota_relay;
   const QuotaDecision decision =
       Decide(granter.empty() ? GranterReach::kUnreachable : GranterReach::kReachable);
--- a/src/rudderloom/forwarding/quota_grant.hpp
+++ b/src/rudderloom/forwarding/quota_grant.hpp
@@ -9,7 +9,7 @@
 namespace rudderloom {
 
 // The amount that a request is charged, in the limit's unit.
-std::uint64_t AmountOf(const QuotaLimit& limit, const RequestTerms& terms);
+std::uint64_t AmountOf(const QuotaLimit& limit, const RequestMetadata& terms);
 
 // Charges a request to its customer's quota, and refunds it on destruction unless the request may
 // have run.
@@ -22,7 +22,8 @@
 
   // Returns empty if the request is within the limit, else how long until the next one is likely to
   // be.
-  Awaitable<std::optional<Duration>> Acquire(const Customer& customer, const RequestTerms& terms);
+  Awaitable<std::optional<Duration>> Acquire(const Customer& customer,
+                                             const RequestMetadata& terms);
 
   void MarkMayHaveRun() { may_have_run_ = true; }
 
@@ -31,7 +32,7 @@
   QuotaDecision Decide(GranterReach reach);
 
   ForwardingState& state_;
-  SpendAsk spend_;
+  SpendRequest spend_;
   bool granted_ = false;
   bool may_have_run_ = false;
 };
--- a/src/rudderloom/forwarding/request_checks.cpp
+++ b/src/rudderloom/forwarding/request_checks.cpp
@@ -8,7 +8,7 @@
 
 RequestChecks::RequestChecks(ForwardingState& state,
                              HttpExchange& exchange,
-                             const RequestTerms& terms,
+                             const RequestMetadata& terms,
                              TimePoint arrived)
     : state_(state),
       exchange_(exchange),
@@ -29,7 +29,7 @@
     co_return ForwardRefusal::kNoRoute;
   }
   caller_ = IdentifyCaller(*routes_, *route_, terms_.key);
-  if (caller_.standing == CallerStanding::kUnknown) {
+  if (caller_.standing == CallerStatus::kUnknown) {
     co_return ForwardRefusal::kUnknownKey;
   }
   if (Quarantined(*state_.views.Current())) {
@@ -120,7 +120,7 @@
 
 bool RequestChecks::KeyRevoked(const FleetView& view) const {
   return caller_.customer != nullptr && view.routes && view.routes != routes_ &&
-         IdentifyCaller(*view.routes, *route_, terms_.key).standing == CallerStanding::kUnknown;
+         IdentifyCaller(*view.routes, *route_, terms_.key).standing == CallerStatus::kUnknown;
 }
 
 }  // namespace rudderloom
--- a/src/rudderloom/forwarding/request_checks.hpp
+++ b/src/rudderloom/forwarding/request_checks.hpp
@@ -24,7 +24,7 @@
   // All arguments must outlive this object.
   RequestChecks(ForwardingState& state,
                 HttpExchange& exchange,
-                const RequestTerms& terms,
+                const RequestMetadata& terms,
                 TimePoint arrived);
 
   // Returns why the request is refused; empty if it may be forwarded. The accessors below are valid
@@ -64,7 +64,7 @@
 
   ForwardingState& state_;
   HttpExchange& exchange_;
-  const RequestTerms& terms_;
+  const RequestMetadata& terms_;
   const TimePoint arrived_;
   RouteTablePtr routes_;
   const Route* route_ = nullptr;
--- a/src/rudderloom/forwarding/request_end.hpp
+++ b/src/rudderloom/forwarding/request_end.hpp
@@ -7,14 +7,14 @@
 
 #include "forwarding/attempt.hpp"                    // for StreamPace
 #include "rudderloom/forwarding/balancer.hpp"        // for EndpointChoice
-#include "rudderloom/forwarding/dialect.hpp"         // for RequestTerms
+#include "rudderloom/forwarding/header_codec.hpp"    // for RequestMetadata
 #include "rudderloom/quarantine/request_digest.hpp"  // for RequestDigest
 #include "rudderloom/routes/route_table.hpp"         // for Route
 
 namespace rudderloom {
 
 struct RequestEnd {
-  const RequestTerms& terms;
+  const RequestMetadata& terms;
   const RouteTablePtr& routes;  // null before the first configuration
   const Route* route = nullptr;
   const std::string& service;
--- a/src/rudderloom/forwarding/request_samples.cpp
+++ b/src/rudderloom/forwarding/request_samples.cpp
@@ -17,7 +17,7 @@
 
 Duration OfferedTime(const ServiceTimes& times,
                      const std::string& service,
-                     const RequestTerms& terms) {
+                     const RequestMetadata& terms) {
   const Duration known = times.HoldTime(service, terms.model, terms.tokens_out) +
                          times.TypicalFirstEventTime(service, terms.model);
   return known > Duration(0) ? known : kAssumedHoldTime;
@@ -25,7 +25,7 @@
 
 Duration BacklogTime(const ServiceTimes& times,
                      const std::string& service,
-                     const RequestTerms& terms,
+                     const RequestMetadata& terms,
                      std::uint32_t ahead,
                      std::uint32_t slots) {
   const double tokens_per_millisecond = times.TokensPerMillisecond(service, terms.model);
@@ -58,9 +58,9 @@
   if (!pace.first_at) {
     return;
   }
-  const RequestTerms& terms = stream.terms;
-  times.Served(stream.service, terms.model, terms.tokens_out,
-               Between(*pace.first_at, pace.last_at));
+  const RequestMetadata& terms = stream.terms;
+  times.RecordAnswer(stream.service, terms.model, terms.tokens_out,
+                     Between(*pace.first_at, pace.last_at));
   const EndpointLoad& before = stream.choice.load;
   if (before.requests * kQuietDivisor <= stream.slots && before.unread_tokens == 0) {
     times.RecordFirstEvent(stream.service, terms.model, stream.choice.added_load.unread_tokens,
--- a/src/rudderloom/forwarding/request_samples.hpp
+++ b/src/rudderloom/forwarding/request_samples.hpp
@@ -8,7 +8,7 @@
 
 #include "forwarding/attempt.hpp"                   // for StreamPace
 #include "rudderloom/forwarding/balancer.hpp"       // for EndpointChoice
-#include "rudderloom/forwarding/dialect.hpp"        // for RequestTerms
+#include "rudderloom/forwarding/header_codec.hpp"   // for RequestMetadata
 #include "rudderloom/forwarding/service_times.hpp"  // for ServiceTimes
 #include "rudderloom/placement/demand.hpp"          // for UnitCount
 
@@ -17,13 +17,13 @@
 // Expected time of a request at an endpoint, from earlier requests.
 Duration OfferedTime(const ServiceTimes& times,
                      const std::string& service,
-                     const RequestTerms& terms);
+                     const RequestMetadata& terms);
 
 // How long a request waits at an idle endpoint behind `ahead` similar requests that arrive just
 // before it: until their prompts are processed or a slot is free, whichever is later.
 Duration BacklogTime(const ServiceTimes& times,
                      const std::string& service,
-                     const RequestTerms& terms,
+                     const RequestMetadata& terms,
                      std::uint32_t ahead,
                      std::uint32_t slots);
 
@@ -46,7 +46,7 @@
 // A stream that completed on the first endpoint it was sent to.
 struct CompletedStream {
   const std::string& service;
-  const RequestTerms& terms;
+  const RequestMetadata& terms;
   const EndpointChoice& choice;  // of the endpoint
   const StreamPace& pace;
   std::uint32_t slots = 0;  // of the endpoint
--- a/src/rudderloom/forwarding/retry_allowance.cpp
+++ b/src/rudderloom/forwarding/retry_budget.cpp
@@ -1,4 +1,4 @@
-#include "rudderloom/forwarding/retry_allowance.hpp"
+#include "rudderloom/forwarding/retry_budget.hpp"
 
 #include <algorithm>  // for max
 
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-void RetryAllowance::CountRequest(const std::string& service, TimePoint now) {
+void RetryBudget::CountRequest(const std::string& service, TimePoint now) {
   ServiceHistory& history = histories_[service];
   DropExpired(history, now);
   history.requests.push_back(now);
 }
 
-bool RetryAllowance::Spend(const std::string& service, std::uint32_t nodes, TimePoint now) {
+bool RetryBudget::Spend(const std::string& service, std::uint32_t nodes, TimePoint now) {
   ServiceHistory& history = histories_[service];
   DropExpired(history, now);
   const double sharing_nodes = std::max<std::uint32_t>(1, nodes) + kUnknownNodes;
@@ -32,7 +32,7 @@
   return true;
 }
 
-void RetryAllowance::DropExpired(ServiceHistory& history, TimePoint now) const {
+void RetryBudget::DropExpired(ServiceHistory& history, TimePoint now) const {
   const TimePoint oldest = now - bounds_.window;
   while (!history.requests.empty() && history.requests.front() < oldest) {
     history.requests.pop_front();
--- a/src/rudderloom/forwarding/service_times.cpp
+++ b/src/rudderloom/forwarding/service_times.cpp
@@ -32,10 +32,10 @@
   xy = xy * retained + new_x * new_y;
 }
 
-void ServiceTimes::Served(const std::string& service,
-                          const std::string& model,
-                          std::uint64_t tokens_out,
-                          Duration hold_time) {
+void ServiceTimes::RecordAnswer(const std::string& service,
+                                const std::string& model,
+                                std::uint64_t tokens_out,
+                                Duration hold_time) {
   const auto tokens = static_cast<double>(tokens_out);
   const auto milliseconds = static_cast<double>(hold_time.count());
   samples_by_model_[{service, ""}].answers.Add(tokens, milliseconds);
--- a/src/rudderloom/http/client.cpp
+++ b/src/rudderloom/http/client.cpp
@@ -34,7 +34,7 @@
 
 }  // namespace
 
-void GuardAgainstSilence(tcp::socket& socket, Duration limit) {
+void EnableDeadPeerDetection(tcp::socket& socket, Duration limit) {
   const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(limit).count();
   const int interval = std::max(1, static_cast<int>(seconds) / (kKeepaliveProbes + 1));
   SetOption(socket, SOL_SOCKET, SO_KEEPALIVE, 1);
@@ -74,14 +74,14 @@
   return request;
 }
 
-HttpStream::HttpStream(tcp::socket socket, CallTimes times)
+HttpStream::HttpStream(tcp::socket socket, CallTimeouts times)
     : socket_(std::move(socket)), timeouts_(times) {
   parser_.body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
 HttpFailure HttpStream::FailureAfterSend(boost::system::error_code error, bool timed_out) const {
   HttpFailure failure;
-  failure.may_have_left = true;
+  failure.may_have_been_sent = true;
   failure.timed_out = timed_out || error == asio::error::timed_out;
   failure.message = failure.timed_out ? "timed out" : error.message();
   return failure;
@@ -93,7 +93,7 @@
   const auto [write_error, written] = co_await http::async_write(socket_, request, kAsTuple);
   if (write_error) {
     HttpFailure failure = FailureAfterSend(write_error, watchdog.Expired());
-    failure.may_have_left = written > 0;
+    failure.may_have_been_sent = written > 0;
     co_return failure;
   }
   const auto [error, size] = co_await http::async_read_header(socket_, buffer_, parser_, kAsTuple);
@@ -166,10 +166,13 @@
   });
 }
 
-Awaitable<std::variant<std::unique_ptr<HttpStream>, HttpFailure>>
-HttpClient::Open(std::string address, HttpRequest request, CallTimes times, Reuse reuse) {
+Awaitable<std::variant<std::unique_ptr<HttpStream>, HttpFailure>> HttpClient::Open(
+    std::string address,
+    HttpRequest request,
+    CallTimeouts times,
+    ConnectionReuse reuse) {
   std::optional<tcp::socket> socket;
-  if (reuse == Reuse::kAllowed) {
+  if (reuse == ConnectionReuse::kAllowed) {
     socket = TakeIdle(address);
   }
   const bool reused = socket.has_value();
@@ -191,13 +194,13 @@
     }
     boost::system::error_code ignored;
     socket->set_option(tcp::no_delay(true), ignored);
-    GuardAgainstSilence(*socket, kPeerSilenceLimit);
+    EnableDeadPeerDetection(*socket, kPeerSilenceLimit);
   }
   auto stream = std::make_unique<HttpStream>(std::move(*socket), times);
   const TimePoint started_at = Now();
   auto started = co_await stream->Start(request);
   if (auto* failure = std::get_if<HttpFailure>(&started)) {
-    failure->on_reused = reused;
+    failure->on_reused_connection = reused;
     // Pooled connections can stop responding together, without a reset, while new ones still work.
     // Keeping them would cost one further call its full timeout for each of them.
     if (reused && failure->timed_out) {
@@ -210,8 +213,8 @@
 
 Awaitable<std::variant<HttpResponse, HttpFailure>> HttpClient::Call(std::string address,
                                                                     HttpRequest request,
-                                                                    CallTimes times,
-                                                                    Reuse reuse) {
+                                                                    CallTimeouts times,
+                                                                    ConnectionReuse reuse) {
   auto opened = co_await Open(address, std::move(request), times, reuse);
   if (auto* failure = std::get_if<HttpFailure>(&opened)) {
     co_return *failure;
--- a/src/rudderloom/http/client_test.cpp
+++ b/src/rudderloom/http/client_test.cpp
@@ -24,8 +24,9 @@
   std::size_t pending = count;
   for (CallResult& result : results) {
     HttpRequest request = MakeRequest(http::verb::get, address, "/");
-    const CallTimes times{kTimeout, kTimeout, kTimeout};
-    asio::co_spawn(context, client.Call(address, std::move(request), times, Reuse::kAllowed),
+    const CallTimeouts times{kTimeout, kTimeout, kTimeout};
+    asio::co_spawn(context,
+                   client.Call(address, std::move(request), times, ConnectionReuse::kAllowed),
                    [&](const std::exception_ptr&, CallResult received) {
                      result = std::move(received);
                      --pending;
@@ -59,7 +60,7 @@
   const CallResult first = CallConcurrently(context, client, server.Address(), 1)[0];
   REQUIRE(std::holds_alternative<HttpFailure>(first));
   CHECK(std::get<HttpFailure>(first).timed_out);
-  CHECK(std::get<HttpFailure>(first).on_reused);
+  CHECK(std::get<HttpFailure>(first).on_reused_connection);
   const CallResult second = CallConcurrently(context, client, server.Address(), 1)[0];
   CHECK(std::holds_alternative<HttpResponse>(second));
   CHECK(server.Connections() == 4);
--- a/src/rudderloom/http/listening.cpp
+++ b/src/rudderloom/http/connection_probe.cpp
@@ -1,11 +1,13 @@
-#include "rudderloom/http/listening.hpp"
+#include "rudderloom/http/connection_probe.hpp"
 
 #include "rudderloom/http/client.hpp"    // for ParseAddress
 #include "rudderloom/http/watchdog.hpp"  // for Watchdog
 
 namespace rudderloom {
 
-Awaitable<bool> NobodyListens(asio::io_context& context, std::string address, Duration limit) {
+Awaitable<bool> IsConnectionRefused(asio::io_context& context,
+                                    std::string address,
+                                    Duration limit) {
   tcp::endpoint endpoint;
   try {
     endpoint = ParseAddress(address);
--- a/src/rudderloom/http/ending_context_test.cpp
+++ b/src/rudderloom/http/destroyable_context_test.cpp
@@ -1,5 +1,5 @@
 // Destruction order of suspended coroutines and the state that they refer to.
-#include "rudderloom/http/ending_context.hpp"
+#include "rudderloom/http/destroyable_context.hpp"
 
 #include <doctest/doctest.h>  // for TEST_CASE
 
@@ -26,13 +26,13 @@
 
 // Guards against request objects that outlive the server state that they refer to.
 TEST_CASE("EndCoroutines destroys suspended coroutines before the state that they refer to") {
-  EndingContext context;
+  DestroyableContext context;
   auto server = std::make_unique<Server>(context);
   asio::co_spawn(context, Serve(*server), asio::detached);
   context.poll();
   CHECK(server->requests == 1);
   context.stop();
-  context.EndCoroutines();
+  context.DestroyCoroutines();
   CHECK(server->requests == 0);
   server.reset();
 }
--- a/src/rudderloom/membership/endpoint_table.cpp
+++ b/src/rudderloom/membership/endpoint_table.cpp
@@ -59,7 +59,7 @@
   return report;
 }
 
-void EndpointTable::Listed(const std::vector<EndpointSpec>& specs) {
+void EndpointTable::ApplyList(const std::vector<EndpointSpec>& specs) {
   std::set<std::string> names;
   for (const EndpointSpec& spec : specs) {
     names.insert(spec.name);
@@ -79,16 +79,16 @@
     state.report = {};
     state.reported_at.reset();
     state.failed_polls = 0;
-    state.leaving_said = false;
+    state.leaving_announced = false;
   }
   state.spec = spec;
 }
 
-void EndpointTable::Gone(const std::string& name) {
+void EndpointTable::Remove(const std::string& name) {
   endpoints_.erase(name);
 }
 
-void EndpointTable::Reported(const std::string& name, const LoadReport& report, TimePoint now) {
+void EndpointTable::ApplyReport(const std::string& name, const LoadReport& report, TimePoint now) {
   const auto found = endpoints_.find(name);
   if (found == endpoints_.end()) {
     return;
@@ -100,7 +100,7 @@
   if (report.leaving) {
     leaving_.insert(Instance(state));
   }
-  state.leaving_said = leaving_.contains(Instance(state));
+  state.leaving_announced = leaving_.contains(Instance(state));
 }
 
 void EndpointTable::PollFailed(const std::string& name) {
@@ -110,12 +110,12 @@
   }
 }
 
-bool EndpointTable::SaidLeaving(const std::string& name_and_incarnation) {
+bool EndpointTable::MarkLeaving(const std::string& name_and_incarnation) {
   if (!leaving_.insert(name_and_incarnation).second) {
     return false;
   }
   for (auto& [name, state] : endpoints_) {
-    state.leaving_said = state.leaving_said || Instance(state) == name_and_incarnation;
+    state.leaving_announced = state.leaving_announced || Instance(state) == name_and_incarnation;
   }
   return true;
 }
@@ -123,7 +123,7 @@
 std::vector<std::string> EndpointTable::Leaving() const {
   std::vector<std::string> known;
   for (const auto& [name, state] : endpoints_) {
-    if (state.leaving_said) {
+    if (state.leaving_announced) {
       known.push_back(Instance(state));
     }
   }
@@ -131,7 +131,7 @@
 }
 
 bool EndpointTable::Usable(const EndpointState& state) {
-  return !state.spec.leaving && !state.leaving_said && state.reported_at &&
+  return !state.spec.leaving && !state.leaving_announced && state.reported_at &&
          state.failed_polls < kMaxUnansweredPolls;
 }
 
--- a/src/rudderloom/membership/member_table.cpp
+++ b/src/rudderloom/membership/member_table.cpp
@@ -37,7 +37,7 @@
 MemberTable::MemberTable(std::string self, MembershipSettings settings)
     : self_(std::move(self)), settings_(settings) {}
 
-void MemberTable::Listed(const std::vector<NodeState>& nodes) {
+void MemberTable::ApplyList(const std::vector<NodeState>& nodes) {
   for (auto& [name, member] : members_) {
     member.listed = false;
   }
@@ -54,7 +54,7 @@
   }
 }
 
-void MemberTable::Heard(const NodeState& state, TimePoint now) {
+void MemberTable::RecordHeartbeat(const NodeState& state, TimePoint now) {
   if (state.name == self_) {
     return;
   }
@@ -67,7 +67,7 @@
   member.advanced_at = now;
 }
 
-void MemberTable::HeardOf(const NodeDigest& digest, TimePoint now) {
+void MemberTable::RecordRelayedHeartbeat(const NodeDigest& digest, TimePoint now) {
   for (auto& [name, member] : members_) {
     NodeState& state = member.state;
     if (IncarnationId(state.incarnation) != digest.id) {
--- a/src/rudderloom/membership/membership_test.cpp
+++ b/src/rudderloom/membership/membership_test.cpp
@@ -32,13 +32,13 @@
 
 TEST_CASE("a member counts as live while its heartbeat advances, whatever the list says") {
   MemberTable table("me", {});
-  table.Heard(Node("a", "a1", 1), kStart);
-  table.Listed({});
+  table.RecordHeartbeat(Node("a", "a1", 1), kStart);
+  table.ApplyList({});
   CHECK(table.Live(kStart).size() == 1);
   table.Expire(kStart + Duration(1'000));
   CHECK(table.Members().size() == 1);
   // A repeated counter, such as from a frozen node's queue, does not count.
-  table.Heard(Node("a", "a1", 1), kStart + Duration(3'000));
+  table.RecordHeartbeat(Node("a", "a1", 1), kStart + Duration(3'000));
   CHECK(table.Live(kStart + Duration(3'000)).empty());
   table.Expire(kStart + Duration(3'000));
   CHECK(table.Members().empty());
@@ -47,7 +47,7 @@
 
 TEST_CASE("a listed node that was never heard is called, but is not live") {
   MemberTable table("me", {});
-  table.Listed({Node("a", "a1", 0), Node("me", "me1", 0)});
+  table.ApplyList({Node("a", "a1", 0), Node("me", "me1", 0)});
   CHECK(table.Live(kStart).empty());
   REQUIRE(table.NextTargets().size() == 1);
   CHECK(table.NextTargets().front().state.name == "a");
@@ -56,13 +56,13 @@
 
 TEST_CASE("an older process of the same name is ended once the new one is heard") {
   MemberTable table("me", {});
-  table.Heard(Node("a", "a1", 100), kStart);
+  table.RecordHeartbeat(Node("a", "a1", 100), kStart);
   CHECK_FALSE(table.Ended("a1"));
-  table.Heard(Node("a", "a2", 1), kStart);
+  table.RecordHeartbeat(Node("a", "a2", 1), kStart);
   CHECK(table.Ended("a1"));
   CHECK_FALSE(table.Ended("a2"));
   // The list still has the old process; the node's own heartbeat takes precedence.
-  table.Listed({Node("a", "a1", 0)});
+  table.ApplyList({Node("a", "a1", 0)});
   CHECK(table.Ended("a1"));
   fakes::ProvedCell("node gone", "node list stale", "an older process of the same name");
 }
@@ -71,12 +71,12 @@
   MembershipSettings settings;
   settings.full_mesh = 1;
   MemberTable table("me", settings);
-  table.Heard(Node("a", "a1", 5), kStart);
+  table.RecordHeartbeat(Node("a", "a1", 5), kStart);
   const TimePoint later = kStart + Duration(5'000);
-  table.HeardOf({IncarnationId("a1"), 5, 0}, later);
-  table.HeardOf({IncarnationId("a0"), 9, 0}, later);
+  table.RecordRelayedHeartbeat({IncarnationId("a1"), 5, 0}, later);
+  table.RecordRelayedHeartbeat({IncarnationId("a0"), 9, 0}, later);
   CHECK(table.Live(later).empty());
-  table.HeardOf({IncarnationId("a1"), 6, 3}, later);
+  table.RecordRelayedHeartbeat({IncarnationId("a1"), 6, 3}, later);
   REQUIRE(table.Live(later).size() == 1);
   CHECK(table.Live(later).front()->state.generation == 3);
 }
@@ -86,7 +86,7 @@
   settings.fanout = 3;
   MemberTable table("me", settings);
   for (int i = 0; i < 20; ++i) {
-    table.Heard(Node("n" + std::to_string(i), "i" + std::to_string(i), 1), kStart);
+    table.RecordHeartbeat(Node("n" + std::to_string(i), "i" + std::to_string(i), 1), kStart);
   }
   std::set<std::string> called;
   for (int round = 0; round < 7; ++round) {
@@ -102,28 +102,28 @@
 
 TEST_CASE("an endpoint is usable by its reports, until any source says that it is leaving") {
   EndpointTable table;
-  table.Listed({Spec("a")});
+  table.ApplyList({Spec("a")});
   const auto usable = [&] { return EndpointTable::Usable(table.Endpoints().at("a")); };
   CHECK_FALSE(usable());
   LoadReport report;
   report.incarnation = "1";
-  table.Reported("a", report, kStart);
+  table.ApplyReport("a", report, kStart);
   CHECK(usable());
   for (int i = 0; i < 3; ++i) {
     table.PollFailed("a");
   }
   CHECK_FALSE(usable());
-  table.Reported("a", report, kStart);
+  table.ApplyReport("a", report, kStart);
   CHECK(usable());
-  CHECK(table.SaidLeaving("a#1"));
-  CHECK_FALSE(table.SaidLeaving("a#1"));
+  CHECK(table.MarkLeaving("a#1"));
+  CHECK_FALSE(table.MarkLeaving("a#1"));
   CHECK_FALSE(usable());
   CHECK(table.Leaving() == std::vector<std::string>{"a#1"});
   // A late report from before it was leaving does not bring it back; a new process does.
-  table.Reported("a", report, kStart);
+  table.ApplyReport("a", report, kStart);
   CHECK_FALSE(usable());
   report.incarnation = "2";
-  table.Reported("a", report, kStart);
+  table.ApplyReport("a", report, kStart);
   CHECK(usable());
   fakes::ProvedCell("node leaving", "load report late", "an endpoint is usable by its reports");
 }
--- a/src/rudderloom/operators/configuration_change.cpp
+++ b/src/rudderloom/operators/configuration_change.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::string_view kObjectName = "current";
-constexpr SettleTimes kConfirmTimes{Duration(4'000), Duration(100)};
+constexpr ConfirmTimes kConfirmTimes{Duration(4'000), Duration(100)};
 
 }  // namespace
 
-std::variant<Configuration, JsonErrors> Changed(const Configuration& before,
-                                                const ChangeRequest& request) {
+std::variant<Configuration, JsonErrors> ApplyChange(const Configuration& before,
+                                                    const ChangeRequest& request) {
   Configuration after = before;
   after.generation = before.generation + 1;
   after.author = request.author;
@@ -89,7 +89,7 @@
   if (generation != request.expected_generation) {
     co_return ChangeConflict{generation, stored.configuration.author};
   }
-  auto changed = Changed(stored.configuration, request);
+  auto changed = ApplyChange(stored.configuration, request);
   if (auto* validation_errors = std::get_if<JsonErrors>(&changed)) {
     co_return ChangeInvalid{std::move(*validation_errors)};
   }
@@ -105,8 +105,8 @@
                                                     ChangeRequest request) {
   StoredObject object = std::move(stored.object);
   object.spec = ToJson(changed);
-  auto written = co_await PutSettled(context_, store_, std::string(object_kind::kConfigurations),
-                                     std::move(object), request.token, kConfirmTimes);
+  auto written = co_await PutAndConfirm(context_, store_, std::string(object_kind::kConfigurations),
+                                        std::move(object), request.token, kConfirmTimes);
   if (std::holds_alternative<StoredObject>(written)) {
     const std::uint64_t generation = changed.generation;
     LogLine("configuration_accepted").With("generation", generation).With("author", request.author);
--- a/src/rudderloom/operators/configuration_change_test.cpp
+++ b/src/rudderloom/operators/configuration_change_test.cpp
@@ -142,7 +142,7 @@
   request.what = ApplySet{"set", {{"a.json", R"({"adapters": [{"name": "a"}]})"}}};
   const auto result = RunCoroutine(ada.context, ada.changer.Make(request));
   REQUIRE(std::holds_alternative<ChangeInvalid>(result));
-  CHECK_FALSE(std::get<ChangeInvalid>(result).mistakes.empty());
+  CHECK_FALSE(std::get<ChangeInvalid>(result).validation_errors.empty());
   CHECK(platform.writes == 0);
 }
 
--- a/src/rudderloom/peers/configuration_codec.cpp
+++ b/src/rudderloom/peers/configuration_codec.cpp
@@ -159,7 +159,7 @@
   out.setCountsTokens(customer.quota.unit == QuotaUnit::kTokens);
   out.setPerSecond(customer.quota.per_second);
   out.setBurst(customer.quota.burst);
-  out.setPlainTokens(customer.quota.plain_tokens);
+  out.setPlainTokens(customer.quota.default_tokens);
 }
 
 std::pair<std::string, Customer> ReadCustomer(rpc::CustomerEntry::Reader in) {
@@ -177,7 +177,7 @@
   customer.quota.unit = in.getCountsTokens() ? QuotaUnit::kTokens : QuotaUnit::kRequests;
   customer.quota.per_second = in.getPerSecond();
   customer.quota.burst = in.getBurst();
-  customer.quota.plain_tokens = in.getPlainTokens();
+  customer.quota.default_tokens = in.getPlainTokens();
   return {customer.name, std::move(customer)};
 }
 
--- a/src/rudderloom/peers/fleet_codec.cpp
+++ b/src/rudderloom/peers/fleet_codec.cpp
@@ -83,13 +83,13 @@
   EndpointRecord record;
   record.id = in.getInstance().cStr();
   record.born = in.getBorn();
-  record.instance = LifeName(record.id, record.born);
+  record.instance = InstanceName(record.id, record.born);
   record.service = in.getService().cStr();
   record.address = in.getAddress().cStr();
   record.availability_zone = in.getAvailabilityZone().cStr();
   record.slots = in.getSlots();
   record.leaving = in.getLeaving();
-  record.tells_models = false;
+  record.includes_models = false;
   return record;
 }
 
@@ -148,7 +148,7 @@
   digest.serving = ReadChanges<std::vector<ResidentModel>>(changes.getServing(), ReadServing);
   digest.endpoints =
       ReadChanges<EndpointRecord, StoreRevision>(changes.getEndpoints(), ReadEndpointEntry);
-  digest.tells_era = changes.getEndpoints().getEra() >= 0;
+  digest.has_era = changes.getEndpoints().getEra() >= 0;
   digest.configuration = Read(changes.getConfiguration());
 }
 
@@ -227,7 +227,7 @@
   out.setProcessorShare(static_cast<float>(counts.processor_share));
   out.setAddress(counts.address);
   out.setAvailabilityZone(counts.availability_zone);
-  out.setStandsFor(counts.stands_for);
+  out.setStandsFor(counts.represented_nodes);
   WriteStrings(counts.avoided_relays, out.initAvoidedRelays(counts.avoided_relays.size()));
   WriteLoads(counts.loads, out.initLoads(counts.loads.size()));
   out.setReportNumber(counts.report_number);
@@ -259,11 +259,11 @@
   counts.serving_seen = in.getServingSeen();
   counts.routes_version = in.getRoutesVersion();
   counts.endpoints_seen = ReadRevision(in.getEndpointsSeen(), in.getEndpointsSeenEra());
-  counts.tells_era = in.getEndpointsSeenEra() >= 0;
+  counts.has_era = in.getEndpointsSeenEra() >= 0;
   counts.processor_share = in.getProcessorShare();
   counts.address = in.getAddress().cStr();
   counts.availability_zone = in.getAvailabilityZone().cStr();
-  counts.stands_for = in.getStandsFor();
+  counts.represented_nodes = in.getStandsFor();
   counts.avoided_relays = ReadStrings(in.getAvoidedRelays());
   counts.loads = ReadLoads(in.getLoads());
   counts.report_number = in.getReportNumber();
@@ -282,13 +282,13 @@
 }
 
 void Write(const HolderDigest& digest, rpc::Digest::Builder out) {
-  out.setHolds(digest.holds);
+  out.setHolds(digest.is_authoritative);
   out.setEpoch(digest.epoch);
   out.setHolder(digest.holder);
   if (!digest.crash_news.Empty()) {
     WriteNews(digest.crash_news, out.initCrashNews());
   }
-  if (!digest.holds) {
+  if (!digest.is_authoritative) {
     return;
   }
   out.setAgeMs(digest.age.count());
@@ -300,7 +300,7 @@
   out.setStandby(digest.standby);
   WriteStrings(digest.standby_addresses, out.initStandbyAddresses(digest.standby_addresses.size()));
   out.setRenewalsFail(digest.renewals_fail);
-  out.setTellsConfiguration(digest.tells_configuration);
+  out.setTellsConfiguration(digest.has_configuration);
   WriteLoads(digest.loads, out.initLoads(digest.loads.size()));
   WriteBalances(digest.balances, out.initBalances(digest.balances.size()));
   out.setReportCounted(digest.report_counted);
@@ -322,7 +322,7 @@
 
 HolderDigest Read(rpc::Digest::Reader in) {
   HolderDigest digest;
-  digest.holds = in.getHolds();
+  digest.is_authoritative = in.getHolds();
   digest.epoch = in.getEpoch();
   digest.holder = in.getHolder().cStr();
   digest.crash_news = ReadNews(in.getCrashNews());
@@ -335,7 +335,7 @@
   digest.standby = in.getStandby();
   digest.standby_addresses = ReadStrings(in.getStandbyAddresses());
   digest.renewals_fail = in.getRenewalsFail();
-  digest.tells_configuration = in.getTellsConfiguration();
+  digest.has_configuration = in.getTellsConfiguration();
   digest.loads = ReadLoads(in.getLoads());
   digest.balances = ReadBalances(in.getBalances());
   digest.report_counted = in.getReportCounted();
@@ -360,7 +360,7 @@
 
 void Write(const SpendAnswer& answer, rpc::PlacementHolder::SpendResults::Builder out) {
   switch (answer.verdict) {
-    case SpendVerdict::kCantSay:
+    case SpendVerdict::kUndecided:
       out.setVerdict(rpc::SpendVerdict::CANT_SAY);
       break;
     case SpendVerdict::kGranted:
--- a/src/rudderloom/peers/fleet_codec_test.cpp
+++ b/src/rudderloom/peers/fleet_codec_test.cpp
@@ -9,7 +9,7 @@
 // Returns the digest of a lease holder after changes of this many endpoints.
 HolderDigest MakeDigest(int endpoints) {
   HolderDigest digest;
-  digest.holds = true;
+  digest.is_authoritative = true;
   digest.epoch = 3;
   digest.endpoints_age = Duration(120);
   digest.serving.version = 77;
@@ -28,7 +28,7 @@
     record.availability_zone = "surrey-c";
     record.slots = 32;
     record.leaving = i % 7 == 0;
-    record.tells_models = false;
+    record.includes_models = false;
     const std::vector<ResidentModel> models{{"milo24" + number, 1, {"a1", "a12"}},
                                             {"bacu22" + number, 1, {}},
                                             {"tiny82" + number, 2, {"a3"}}};
@@ -105,8 +105,8 @@
 // the size of the message in bytes.
 std::size_t SendChanges(const ConfigurationLog& from, ConfigurationLog& to) {
   HolderDigest original;
-  original.holds = true;
-  original.tells_configuration = true;
+  original.is_authoritative = true;
+  original.has_configuration = true;
   original.configuration = from.Since(to.Version());
   original.configuration_age = Duration(70);
   original.relay_pause = Duration(160);
@@ -114,7 +114,7 @@
   Write(original, message.initRoot<rpc::Digest>());
   const HolderDigest decoded = Read(message.getRoot<rpc::Digest>().asReader());
   CHECK(decoded.configuration_age == original.configuration_age);
-  CHECK(decoded.tells_configuration);
+  CHECK(decoded.has_configuration);
   CHECK(decoded.relay_pause == original.relay_pause);
   CHECK(to.Apply(decoded.configuration));
   return message.sizeInWords() * sizeof(capnp::word);
@@ -161,7 +161,7 @@
   capnp::MallocMessageBuilder message;
   Write(HolderDigest(), message.initRoot<rpc::Digest>());
   const HolderDigest decoded = Read(message.getRoot<rpc::Digest>().asReader());
-  CHECK_FALSE(decoded.holds);
+  CHECK_FALSE(decoded.is_authoritative);
   CHECK(decoded.serving.values.empty());
   CHECK(decoded.endpoints.values.empty());
 }
--- a/src/rudderloom/peers/holder_link.cpp
+++ b/src/rudderloom/peers/holder_link.cpp
@@ -41,8 +41,8 @@
   Parameters parameters;
   Callback done;
 };
-using PendingSpend = PendingCall<SpendAsk, SpendCallback>;
-using PendingPermit = PendingCall<PermitAsk, PermitCallback>;
+using PendingSpend = PendingCall<SpendRequest, SpendCallback>;
+using PendingPermit = PendingCall<PermitRequest, PermitCallback>;
 struct OutgoingCall {
   std::string to;  // address
   std::variant<PendingSpend, PendingPermit> pending;
@@ -114,22 +114,22 @@
     const HolderDigest digest = hooks_.digest_for(counts);
     hooks_.on_counts(std::move(counts));
     Write(digest, context.getResults().initDigest());
-    if (digest.holds) {
+    if (digest.is_authoritative) {
       log_.Record(context.getResults().totalSize().wordCount * sizeof(capnp::word));
     }
     return kj::READY_NOW;
   }
 
   kj::Promise<void> spend(SpendContext context) override {
-    const SpendAsk ask{context.getParams().getCustomer(), context.getParams().getAmount()};
+    const SpendRequest ask{context.getParams().getCustomer(), context.getParams().getAmount()};
     Write(hooks_.on_spend(ask), context.getResults());
     return kj::READY_NOW;
   }
 
   kj::Promise<void> permit(PermitContext context) override {
     const auto params = context.getParams();
-    const PermitAsk ask{params.getEndpoint(), params.getRequestsPerSecond(),
-                        Duration(params.getMostWaitMs())};
+    const PermitRequest ask{params.getEndpoint(), params.getRequestsPerSecond(),
+                            Duration(params.getMostWaitMs())};
     Write(hooks_.on_permit(ask), context.getResults());
     return kj::READY_NOW;
   }
@@ -228,7 +228,7 @@
         .then([this, address, number = counts.report_number, sent_at = Now()](auto&& response) {
           HolderDigest digest = Read(response.getDigest());
           // The response may have been built right after the request was sent.
-          MakeOlder(digest, Between(sent_at, Now()));
+          AddTransitTime(digest, Between(sent_at, Now()));
           impl_.hooks.on_digest(std::move(digest), address, number);
         })
         .attach(kj::mv(connection));
@@ -253,7 +253,8 @@
     });
   }
 
-  static kj::Promise<SpendAnswer> Call(rpc::PlacementHolder::Client holder, const SpendAsk& ask) {
+  static kj::Promise<SpendAnswer> Call(rpc::PlacementHolder::Client holder,
+                                       const SpendRequest& ask) {
     auto request = holder.spendRequest();
     request.setCustomer(ask.customer);
     request.setAmount(ask.amount);
@@ -261,11 +262,11 @@
   }
 
   static kj::Promise<PermitAnswer> Call(rpc::PlacementHolder::Client granter,
-                                        const PermitAsk& ask) {
+                                        const PermitRequest& ask) {
     auto request = granter.permitRequest();
     request.setEndpoint(ask.endpoint);
     request.setRequestsPerSecond(ask.requests_per_second);
-    request.setMostWaitMs(static_cast<std::uint32_t>(ask.most_wait.count()));
+    request.setMostWaitMs(static_cast<std::uint32_t>(ask.max_wait.count()));
     return request.send().then([](auto&& response) { return Read(response); });
   }
 
@@ -344,19 +345,19 @@
 void HolderLink::Report(const std::string& to, NodeCounts counts) {
   const std::lock_guard lock(impl_->mutex);
   if (impl_->next_report) {
-    AddUntold(impl_->next_report->counts, counts);
+    MergeUnreported(impl_->next_report->counts, counts);
   }
   impl_->next_report = OutgoingReport{to, std::move(counts)};
   impl_->WakeLoop();
 }
 
-void HolderLink::Ask(const std::string& holder, const SpendAsk& ask, SpendCallback done) {
+void HolderLink::Ask(const std::string& holder, const SpendRequest& ask, SpendCallback done) {
   const std::lock_guard lock(impl_->mutex);
   impl_->calls.push_back({holder, PendingSpend{ask, std::move(done)}});
   impl_->WakeLoop();
 }
 
-void HolderLink::Ask(const std::string& granter, const PermitAsk& ask, PermitCallback done) {
+void HolderLink::Ask(const std::string& granter, const PermitRequest& ask, PermitCallback done) {
   const std::lock_guard lock(impl_->mutex);
   impl_->calls.push_back({granter, PendingPermit{ask, std::move(done)}});
   impl_->WakeLoop();
--- a/src/rudderloom/peers/node_server.cpp
+++ b/src/rudderloom/peers/node_server.cpp
@@ -30,7 +30,7 @@
 struct NodeServer::Impl {
   Impl(const ListenerSettings& listener_settings,
        MembershipSettings membership_settings,
-       Contact& last_contact,
+       ContactMonitor& last_contact,
        Metrics& node_metrics)
       : listener(listener_settings),
         membership(membership_settings),
@@ -44,7 +44,7 @@
 
   ListenerSettings listener;
   MembershipSettings membership;
-  Contact& contact;
+  ContactMonitor& contact;
   Metrics& metrics;
   NodeServerHooks hooks;
   mutable std::mutex mutex;
@@ -64,7 +64,7 @@
   NodeService(Report report,
               const MembershipSettings& membership,
               const NodeServerHooks& hooks,
-              Contact& contact,
+              ContactMonitor& contact,
               Metrics& metrics)
       : report_(std::move(report)),
         membership_(membership),
@@ -76,7 +76,7 @@
     const auto received = context.getParams().getMine();
     metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
                    received.totalSize().wordCount * kBytesPerWord);
-    contact_.Heard(Now());
+    contact_.RecordContact(Now());
     hooks_.post(Read(received));
     Write(*report_(), context.getResults().initYours());
     metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
@@ -133,7 +133,7 @@
   Report report_;
   const MembershipSettings& membership_;
   const NodeServerHooks& hooks_;
-  Contact& contact_;
+  ContactMonitor& contact_;
   Metrics& metrics_;
 };
 
@@ -143,7 +143,7 @@
   HeartbeatSender(NodeService::Report report,
                   const MembershipSettings& membership,
                   const NodeServerHooks& hooks,
-                  Contact& contact,
+                  ContactMonitor& contact,
                   Metrics& metrics,
                   kj::AsyncIoProvider& provider)
       : report_(std::move(report)),
@@ -212,7 +212,7 @@
           const auto reply = response.getYours();
           metrics_.Count({"rudderloom_control_bytes_total", "with", "peers"},
                          reply.totalSize().wordCount * kBytesPerWord);
-          contact_.Heard(Now());
+          contact_.RecordContact(Now());
           message::HeartbeatReceived heartbeat = Read(reply);
           const std::uint64_t peer_generation = heartbeat.state.generation;
           hooks_.post(std::move(heartbeat));
@@ -243,7 +243,7 @@
   NodeService::Report report_;
   const MembershipSettings& membership_;
   const NodeServerHooks& hooks_;
-  Contact& contact_;
+  ContactMonitor& contact_;
   Metrics& metrics_;
   kj::Timer& timer_;
   kj::Network& network_;
@@ -275,7 +275,7 @@
 
 NodeServer::NodeServer(const ListenerSettings& listener,
                        MembershipSettings membership,
-                       Contact& contact,
+                       ContactMonitor& contact,
                        Metrics& metrics)
     : impl_(std::make_shared<Impl>(listener, membership, contact, metrics)) {
   auto port = impl_->port.get_future();
@@ -320,7 +320,7 @@
   impl_->started.set_value();
 }
 
-void NodeServer::Reported(std::shared_ptr<const NodeReport> report) {
+void NodeServer::UpdateReport(std::shared_ptr<const NodeReport> report) {
   const std::lock_guard lock(impl_->mutex);
   impl_->report = std::move(report);
 }
--- a/src/rudderloom/peers/operator_codec.cpp
+++ b/src/rudderloom/peers/operator_codec.cpp
@@ -20,10 +20,10 @@
     group.setAuthor(conflict.author);
   }
   void operator()(const ChangeInvalid& invalid) {
-    auto error_list = out.initInvalid(ListSize(invalid.mistakes.size()));
+    auto error_list = out.initInvalid(ListSize(invalid.validation_errors.size()));
     for (unsigned i = 0; i < error_list.size(); ++i) {
-      error_list[i].setPath(invalid.mistakes[i].path);
-      error_list[i].setMessage(invalid.mistakes[i].message);
+      error_list[i].setPath(invalid.validation_errors[i].path);
+      error_list[i].setMessage(invalid.validation_errors[i].message);
     }
   }
   void operator()(const ChangeUnreachable& unreachable) { out.setUnreachable(unreachable.message); }
@@ -40,7 +40,7 @@
 }
 
 std::string_view EndpointStateName(const EndpointState& state, const Configuration& configuration) {
-  if (state.spec.leaving || state.leaving_said) {
+  if (state.spec.leaving || state.leaving_announced) {
     return "leaving";
   }
   if (configuration.drained.contains(state.spec.name)) {
@@ -131,7 +131,8 @@
     case rpc::ChangeResult::INVALID: {
       ChangeInvalid invalid;
       for (const auto mistake : in.getInvalid()) {
-        invalid.mistakes.push_back({mistake.getPath().cStr(), mistake.getMessage().cStr()});
+        invalid.validation_errors.push_back(
+            {mistake.getPath().cStr(), mistake.getMessage().cStr()});
       }
       return invalid;
     }
--- a/src/rudderloom/peers/quarantine_codec.cpp
+++ b/src/rudderloom/peers/quarantine_codec.cpp
@@ -10,7 +10,7 @@
   for (unsigned i = 0; i < table.entries.size(); ++i) {
     const SuspectEntry& entry = table.entries[i];
     entries[i].setRequest(ToData(entry.request));
-    entries[i].setHeldBefore(entry.held_before);
+    entries[i].setHeldBefore(entry.quarantined_before);
     entries[i].setAgeMs(static_cast<std::uint64_t>(entry.age.count()));
     auto endpoints = entries[i].initEndpoints(entry.endpoints.size());
     unsigned index = 0;
@@ -30,7 +30,7 @@
     }
     SuspectEntry entry;
     entry.request = *request;
-    entry.held_before = encoded_entry.getHeldBefore();
+    entry.quarantined_before = encoded_entry.getHeldBefore();
     entry.age = Duration(static_cast<Duration::rep>(encoded_entry.getAgeMs()));
     for (const EndpointKey endpoint : encoded_entry.getEndpoints()) {
       entry.endpoints.insert(endpoint);
--- a/src/rudderloom/placement/demand.cpp
+++ b/src/rudderloom/placement/demand.cpp
@@ -22,37 +22,37 @@
 
 }  // namespace
 
-void AddUntold(const NodeCounts& earlier, NodeCounts& newer) {
+void MergeUnreported(const NodeCounts& earlier, NodeCounts& newer) {
   for (const auto& [unit, count] : earlier.units) {
     newer.units[unit].offered += count.offered;
   }
-  AddUntold(earlier.spending, newer.spending);
-  AddNews(earlier.crash_news, newer.crash_news);
+  MergeUnreported(earlier.spending, newer.spending);
+  MergeNews(earlier.crash_news, newer.crash_news);
   newer.limits.insert(earlier.limits.begin(), earlier.limits.end());
 }
 
-bool CountsFresh(TimePoint heard_at, TimePoint now) {
+bool AreCountsCurrent(TimePoint heard_at, TimePoint now) {
   return now - heard_at <= kMaxCountsAge;
 }
 
-void DemandBoard::Counted(const NodeCounts& counts, TimePoint now) {
+void DemandTracker::RecordCounts(const NodeCounts& counts, TimePoint now) {
   nodes_[counts.node] = {counts.units, std::make_shared<const LoadTable>(counts.loads),
                          ReportingNode{counts.node, counts.address, counts.availability_zone,
-                                       counts.processor_share, counts.stands_for},
+                                       counts.processor_share, counts.represented_nodes},
                          now};
   for (const auto& [unit, count] : counts.units) {
     if (count.running + count.waiting > 0 || count.offered > Duration(0)) {
-      units_[unit].asked_at = now;
+      units_[unit].last_requested_at = now;
       first_request_at_ = first_request_at_.value_or(now);
     }
     smoothed_[unit].arrived += count.offered;
   }
 }
 
-void DemandBoard::Tick(TimePoint now) {
+void DemandTracker::Tick(TimePoint now) {
   std::map<UnitName, UnitCount> sums;
   for (const auto& [name, node] : nodes_) {
-    if (!CountsFresh(node.heard_at, now)) {
+    if (!AreCountsCurrent(node.heard_at, now)) {
       continue;
     }
     for (const auto& [unit, count] : node.units) {
@@ -73,14 +73,15 @@
     Smooth(smoothed, sum.running + sum.waiting, seconds);
     demand.pressure = std::max(smoothed.in_flight, Extrapolate(smoothed, observed_seconds));
   }
-  std::erase_if(units_,
-                [&](const auto& entry) { return now - entry.second.asked_at > kForgetAfter; });
+  std::erase_if(units_, [&](const auto& entry) {
+    return now - entry.second.last_requested_at > kForgetAfter;
+  });
   std::erase_if(smoothed_, [&](const auto& entry) { return !units_.contains(entry.first); });
   std::erase_if(nodes_,
                 [&](const auto& entry) { return now - entry.second.heard_at > kForgetAfter; });
 }
 
-void DemandBoard::Smooth(Smoothed& smoothed, double in_flight, double seconds) {
+void DemandTracker::Smooth(Smoothed& smoothed, double in_flight, double seconds) {
   if (seconds <= 0.0) {
     return;
   }
@@ -98,7 +99,7 @@
 // Extrapolates rising demand along its trend, because a load takes effect only seconds later. An
 // average that starts at zero is too low at first, the slow one for longer; without the correction,
 // all demand would seem to rise when the first requests arrive.
-double DemandBoard::Extrapolate(const Smoothed& smoothed, double observed_seconds) {
+double DemandTracker::Extrapolate(const Smoothed& smoothed, double observed_seconds) {
   const auto corrected = [observed_seconds](double average, double time_constant) {
     return average /
            (1.0 - std::exp(-std::max(observed_seconds, kMinObservedSeconds) / time_constant));
@@ -113,7 +114,7 @@
   return std::min(fast + slope * kLookAheadSeconds, fast * kMaxTrendFactor);
 }
 
-UnitDemand DemandBoard::Of(const UnitName& unit) const {
+UnitDemand DemandTracker::DemandFor(const UnitName& unit) const {
   const auto found = units_.find(unit);
   return found == units_.end() ? UnitDemand() : found->second;
 }
@@ -137,10 +138,10 @@
   return loads;
 }
 
-LoadSums DemandBoard::Sums(TimePoint now) const {
+LoadSums DemandTracker::Sums(TimePoint now) const {
   LoadSums sums;
   for (const auto& [name, node] : nodes_) {
-    if (!CountsFresh(node.heard_at, now)) {
+    if (!AreCountsCurrent(node.heard_at, now)) {
       continue;
     }
     sums.Add(name, node.loads);
@@ -148,21 +149,21 @@
   return sums;
 }
 
-std::vector<ReportingNode> DemandBoard::Reporting(const std::string& excluded_node,
-                                                  TimePoint now) const {
+std::vector<ReportingNode> DemandTracker::ReportingNodes(const std::string& excluded_node,
+                                                         TimePoint now) const {
   std::vector<ReportingNode> reporting;
   for (const auto& [name, node] : nodes_) {
-    if (name != excluded_node && CountsFresh(node.heard_at, now)) {
+    if (name != excluded_node && AreCountsCurrent(node.heard_at, now)) {
       reporting.push_back(node.reporting);
     }
   }
   return reporting;
 }
 
-std::uint32_t DemandBoard::Nodes(TimePoint now) const {
+std::uint32_t DemandTracker::Nodes(TimePoint now) const {
   std::uint32_t count = 0;
   for (const auto& [name, node] : nodes_) {
-    count += CountsFresh(node.heard_at, now) ? node.reporting.stands_for : 0;
+    count += AreCountsCurrent(node.heard_at, now) ? node.reporting.represented_nodes : 0;
   }
   return count;
 }
--- a/src/rudderloom/placement/lease_keeper.cpp
+++ b/src/rudderloom/placement/lease_keeper.cpp
@@ -76,10 +76,10 @@
   return record ? version_certain_ || !fresh : !fresh;
 }
 
-bool LeaseKeeper::Seen(const std::optional<LeaseRecord>& record,
-                       const StoreRevision& version,
-                       bool fresh,
-                       TimePoint now) {
+bool LeaseKeeper::ApplyRead(const std::optional<LeaseRecord>& record,
+                            const StoreRevision& version,
+                            bool fresh,
+                            TimePoint now) {
   if (!record && !fresh && version_ != version) {
     HandleStaleMiss(version, now);
     return true;
@@ -155,7 +155,7 @@
   holding_ = holding_ && IsOwnRecord(record) && !record.released;
 }
 
-void LeaseKeeper::Unread(TimePoint now) {
+void LeaseKeeper::OnReadFailed(TimePoint now) {
   store_is_new_ = store_is_new_ && Known();
   if (!holding_) {
     first_seen_ = now;
@@ -221,7 +221,7 @@
   return now - write_started_at_ >= kMinAnnouncementInterval && !record_complete;
 }
 
-bool LeaseKeeper::RenewalsFail(TimePoint now) const {
+bool LeaseKeeper::IsRenewalOverdue(TimePoint now) const {
   return Holds(now) && now >= valid_until_ - valid_for_ + renew_every_ + kRenewalOverdueAfter;
 }
 
@@ -235,7 +235,7 @@
   // If the record may be lost, this node has already waited until its lease expired. A holder that
   // avoided all endpoints may have released the lease early.
   const bool lease_expired = writes_may_be_lost_ || (record.released && !record.inherited_all);
-  former.rest = bound_ + kConnectMargin + (lease_expired ? Duration(0) : valid_for_);
+  former.blocked_for = bound_ + kConnectMargin + (lease_expired ? Duration(0) : valid_for_);
   former.inherited = record.inherited;
   former.inherited_all =
       record.inherited_all || writes_may_be_lost_ || (!record.era && version_->Era() > 0);
@@ -247,11 +247,11 @@
   // If writes may be lost, others may have held the lease after this machine and sent orders to
   // endpoints it had announced.
   if (record.holder == address_ && !writes_may_be_lost_) {
-    former.who = FormerHolder::kThisNode;
+    former.former_holder = FormerHolder::kThisNode;
     former.own = record.own;
     return former;
   }
-  former.who = FormerHolder::kOtherNode;
+  former.former_holder = FormerHolder::kOtherNode;
   former.inherited = Union(record.inherited, record.own);
   return former;
 }
@@ -274,9 +274,9 @@
 // lease duration.
 LeaseWrite LeaseKeeper::Reacquire() {
   former_ = FormerLease();
-  former_.who = FormerHolder::kThisProcess;
+  former_.former_holder = FormerHolder::kThisProcess;
   former_.inherited_all = true;
-  former_.rest = valid_for_ + bound_ + kConnectMargin;
+  former_.blocked_for = valid_for_ + bound_ + kConnectMargin;
   wanted_inherited_all_ = true;
   LeaseWrite write = Renewal();
   write.record.epoch = NextEpoch();
@@ -335,7 +335,7 @@
   return pending_write_;
 }
 
-void LeaseKeeper::Written(const StoreRevision& version, TimePoint now) {
+void LeaseKeeper::OnWriteSucceeded(const StoreRevision& version, TimePoint now) {
   if (!pending_write_) {
     return;
   }
--- a/src/rudderloom/placement/lease_keeper_test.cpp
+++ b/src/rudderloom/placement/lease_keeper_test.cpp
@@ -68,7 +68,7 @@
   LeaseKeeper holder("a:1", "x", kBound);
   LeaseKeeper standby("b:1", "y", kBound);
   LeaseKeeper other("c:1", "z", kBound);
-  other.YieldFor(Duration(1'000));
+  other.SetExtraYield(Duration(1'000));
   Step(holder, store, At(0));
   int ms = 0;
   for (; ms < 1'000; ms += 50) {
@@ -86,7 +86,7 @@
   LeaseObject lone_store;
   Step(holder, lone_store, At(0));
   LeaseKeeper lone_node("e:1", "v", kBound);
-  lone_node.YieldFor(Duration(1'000));
+  lone_node.SetExtraYield(Duration(1'000));
   lone_store.record = LeaseRecord{"a:1", "x", 1, 1, false, {}, {}, {}};
   for (ms = 0; ms < 4'000 && !lone_node.Holds(At(ms)); ms += 50) {
     Step(lone_node, lone_store, At(ms));
@@ -99,14 +99,14 @@
   LeaseObject store;
   LeaseKeeper holder("a:1", "x", kBound);
   Step(holder, store, At(0));
-  CHECK_FALSE(holder.RenewalsFail(At(1'100)));
+  CHECK_FALSE(holder.IsRenewalOverdue(At(1'100)));
   int failing = 0;
   for (int ms = 1'000; ms < 2'500 && failing == 0; ms += 50) {
     if (holder.NextWrite(At(ms))) {
       holder.WriteFailed();
     }
-    holder.Unread(At(ms));
-    failing = holder.RenewalsFail(At(ms)) ? ms : 0;
+    holder.OnReadFailed(At(ms));
+    failing = holder.IsRenewalOverdue(At(ms)) ? ms : 0;
   }
   CHECK(failing > 0);
   CHECK(failing <= 1'500);
@@ -133,9 +133,9 @@
   REQUIRE(taken > 0);
   CHECK(taken <= 2'500);
   CHECK(second.Epoch() == 2);
-  CHECK(second.Former().who == FormerHolder::kOtherNode);
+  CHECK(second.Former().former_holder == FormerHolder::kOtherNode);
   CHECK(second.Former().inherited == OrderScopes{{"e1", OrderScope::kWeightStore}});
-  CHECK(At(taken) + second.Former().rest - last_order >= kBound);
+  CHECK(At(taken) + second.Former().blocked_for - last_order >= kBound);
   // The former holder returns: its renewal fails, and it learns of the new holder.
   Step(first, store, At(taken));
   CHECK_FALSE(first.Holds(At(taken)));
@@ -151,8 +151,8 @@
     history.emplace_back(store.record, store.Version());
     const auto& stale = history[history.size() > 60 ? history.size() - 60 : 0];
     const bool fresh = other.NeedsRead();
-    other.Seen(fresh ? store.record : stale.first, fresh ? store.Version() : stale.second, fresh,
-               At(ms));
+    other.ApplyRead(fresh ? store.record : stale.first, fresh ? store.Version() : stale.second,
+                    fresh, At(ms));
     CHECK_FALSE(other.NextWrite(At(ms)));
   }
   CHECK(holder.Epoch() == 1);
@@ -169,7 +169,7 @@
   REQUIRE(write);
   CHECK(keeper.Announced().empty());
   CHECK(store.Put(*write));
-  keeper.Written(store.Version(), At(210));
+  keeper.OnWriteSucceeded(store.Version(), At(210));
   CHECK(keeper.Announced() == OrderScopes{{"e2", OrderScope::kWeightStore}});
 }
 
@@ -208,7 +208,7 @@
   Step(second, store, At(100));
   CHECK(second.Holds(At(100)));
   CHECK(second.Former().inherited == OrderScopes{{"e1", OrderScope::kLocal}});
-  CHECK(second.Former().rest >= kBound);
+  CHECK(second.Former().blocked_for >= kBound);
 }
 
 TEST_CASE("the process that handed over a lease may acquire it again, under a new epoch") {
@@ -217,7 +217,7 @@
   Step(keeper, store, At(0));
   keeper.HandOver();
   CHECK_FALSE(keeper.Holds(At(10)));
-  keeper.YieldFor(Duration(2'000));
+  keeper.SetExtraYield(Duration(2'000));
   Step(keeper, store, At(50));
   CHECK(keeper.Released());
   int ms = 100;
@@ -232,14 +232,14 @@
 TEST_CASE("a lease write whose answer was lost counts from the start of the write") {
   LeaseObject store;
   LeaseKeeper keeper("a:1", "x", kBound);
-  keeper.Seen(store.record, store.Version(), true, At(0));
+  keeper.ApplyRead(store.record, store.Version(), true, At(0));
   const auto write = keeper.NextWrite(At(0));
   REQUIRE(write);
   CHECK(store.Put(*write));
   keeper.WriteFailed();
   CHECK(keeper.NeedsRead());
   CHECK_FALSE(keeper.NextWrite(At(400)));
-  keeper.Seen(store.record, store.Version(), true, At(400));
+  keeper.ApplyRead(store.record, store.Version(), true, At(400));
   CHECK(keeper.Holds(At(400)));
   CHECK(keeper.ValidUntil() == At(0) + kBound * 5 / 6);
 }
@@ -316,7 +316,7 @@
           }
         }
         if (keeper.NeedsRead() || random() % 8 != 0) {
-          keeper.Seen(store.record, store.Version(), true, now);
+          keeper.ApplyRead(store.record, store.Version(), true, now);
         }
         auto write = keeper.NextWrite(now);
         if (!write) {
@@ -336,7 +336,7 @@
             break;
           default:
             if (store.Put(*write)) {
-              keeper.Written(store.Version(), now);
+              keeper.OnWriteSucceeded(store.Version(), now);
             } else {
               keeper.WriteFailed();
             }
@@ -354,7 +354,7 @@
   LeaseKeeper first("a:1", "x", kBound);
   int ms = 0;
   for (; ms < 2'500; ms += 50) {
-    first.NoteBalances({{7, -300}, {9, 40}});
+    first.SetLowBalances({{7, -300}, {9, 40}});
     Step(first, object, At(ms));
   }
   REQUIRE(first.Holds(At(ms)));
--- a/src/rudderloom/placement/lease_model_test.cpp
+++ b/src/rudderloom/placement/lease_model_test.cpp
@@ -180,13 +180,13 @@
     // Sends orders on its current knowledge before any new information arrives.
     Order(index);
     if (node.pending_answer && step_ >= node.pending_answer->step) {
-      node.lease.Written(node.pending_answer->version, now_);
+      node.lease.OnWriteSucceeded(node.pending_answer->version, now_);
       node.pending_answer.reset();
     }
     if (disconnected) {
-      node.lease.Unread(now_);
+      node.lease.OnReadFailed(now_);
     } else {
-      node.lease.Seen(store_.record, store_.Version(), true, now_);
+      node.lease.ApplyRead(store_.record, store_.Version(), true, now_);
     }
     Write(node, disconnected);
     Order(index);
@@ -207,7 +207,7 @@
       return;
     }
     if (!disconnected && Send(node, *write)) {
-      node.lease.Written(store_.Version(), now_);
+      node.lease.OnWriteSucceeded(store_.Version(), now_);
     } else {
       node.lease.WriteFailed();
     }
--- a/src/rudderloom/placement/lease_restore_test.cpp
+++ b/src/rudderloom/placement/lease_restore_test.cpp
@@ -37,7 +37,7 @@
   Step(holder, store, At(2'200));
   CHECK(holder.Holds(At(2'300)));
   CHECK(holder.Epoch() > token);
-  CHECK(holder.Former().who == FormerHolder::kThisProcess);
+  CHECK(holder.Former().former_holder == FormerHolder::kThisProcess);
   CHECK(holder.Former().inherited_all);
   REQUIRE(store.record);
   CHECK(store.record->inherited_all);
@@ -89,12 +89,12 @@
 TEST_CASE("a write that takes effect in a later era than intended does not acquire the lease") {
   LeaseObject store;
   LeaseKeeper keeper("a:1", "x", kBound);
-  keeper.Seen(store.record, store.Version(), true, At(0));
+  keeper.ApplyRead(store.record, store.Version(), true, At(0));
   const auto write = keeper.NextWrite(At(0));
   REQUIRE(write);
   Restore(store, LeaseObject());
   CHECK(store.Put(*write));
-  keeper.Written(store.Version(), At(10));
+  keeper.OnWriteSucceeded(store.Version(), At(10));
   CHECK_FALSE(keeper.Holds(At(20)));
   CHECK(keeper.NeedsRead());
   for (int ms = 50; ms < 2'500; ms += 50) {
--- a/src/rudderloom/placement/order_announcements.cpp
+++ b/src/rudderloom/placement/order_announcements.cpp
@@ -38,7 +38,7 @@
 }
 
 void OrderAnnouncements::Reset(const FormerLease& former, TimePoint now) {
-  if (former.who == FormerHolder::kThisProcess) {
+  if (former.former_holder == FormerHolder::kThisProcess) {
     BlockOtherEndpoints(former, now);
     return;
   }
@@ -50,7 +50,7 @@
     Extend(ordered_, instance, scope, now + RetentionTime(scope));
   }
   for (const auto& [instance, scope] : former.inherited) {
-    Extend(inherited_, instance, scope, now + former.rest);
+    Extend(inherited_, instance, scope, now + former.blocked_for);
   }
   BlockOtherEndpoints(former, now);
 }
@@ -61,7 +61,7 @@
   if (!former.inherited_all) {
     return;
   }
-  others_blocked_until_ = std::max(others_blocked_until_, now + former.rest);
+  others_blocked_until_ = std::max(others_blocked_until_, now + former.blocked_for);
   unblocked_endpoints_.clear();
   for (const auto& [instance, entry] : ordered_) {
     if (now < entry.until) {
--- a/src/rudderloom/placement/placement_keeper.cpp
+++ b/src/rudderloom/placement/placement_keeper.cpp
@@ -23,12 +23,12 @@
 using UnservedUnits = std::map<std::string, std::vector<std::string>>;
 
 UnservedUnits FindUnservedUnits(const std::string& service,
-                                const DemandBoard& demand,
+                                const DemandTracker& demand,
                                 TimePoint now) {
   UnservedUnits unserved;
   for (const auto& [unit, unit_demand] : demand.Units()) {
     if (unit.service != service || unit_demand.running > 0 ||
-        now - unit_demand.asked_at > kDemandWindow) {
+        now - unit_demand.last_requested_at > kDemandWindow) {
       continue;
     }
     std::vector<std::string>& adapters = unserved[unit.model];
@@ -72,13 +72,13 @@
 void PlacementKeeper::Reset(const FormerLease& former, TimePoint now) {
   engines_.clear();
   announcements_.Reset(former, now);
-  if (former.who != FormerHolder::kThisProcess) {
+  if (former.former_holder != FormerHolder::kThisProcess) {
     pacer_.AssumeStarted(CountWeightStore(former.own) + CountWeightStore(former.inherited), now);
   }
   IncrementServingVersion();
 }
 
-void PlacementKeeper::GoOn(const FormerLease& former, TimePoint now) {
+void PlacementKeeper::ContinueLease(const FormerLease& former, TimePoint now) {
   announcements_.Reset(former, now);
   IncrementServingVersion();
 }
@@ -88,11 +88,11 @@
   const std::size_t before = engines_.size();
   std::erase_if(engines_, [&](const auto& entry) {
     const auto found = endpoints.find(entry.first);
-    return found == endpoints.end() || found->second.record.leaving || found->second.gone_at;
+    return found == endpoints.end() || found->second.record.leaving || found->second.unlisted_since;
   });
   bool changed = before != engines_.size();
   for (const auto& [instance, known] : endpoints) {
-    if (known.record.leaving || known.gone_at || engines_.contains(instance)) {
+    if (known.record.leaving || known.unlisted_since || engines_.contains(instance)) {
       continue;
     }
     engines_.emplace(instance, EngineState::FromRecord(known.record, now));
@@ -112,7 +112,7 @@
   }
 }
 
-void PlacementKeeper::Reported(const std::string& instance,
+void PlacementKeeper::OnReport(const std::string& instance,
                                const std::optional<EngineReport>& report,
                                TimePoint now) {
   const auto found = engines_.find(instance);
@@ -216,7 +216,7 @@
 
 void PlacementKeeper::Plan(const ServiceSpec& service,
                            const std::vector<std::string>& instances,
-                           const DemandBoard& demand,
+                           const DemandTracker& demand,
                            const LoadTable& loads,
                            const HeldLease& lease,
                            PlacementEffects& effects,
@@ -274,7 +274,7 @@
 // until the engine accepts another order.
 void PlacementKeeper::AddForecast(const std::string& service,
                                   const std::vector<std::string>& instances,
-                                  const DemandBoard& demand,
+                                  const DemandTracker& demand,
                                   LoadForecast& forecast,
                                   TimePoint now) {
   const UnservedUnits unserved = FindUnservedUnits(service, demand, now);
@@ -299,7 +299,7 @@
   }
   for (auto& [unit, load] : forecast) {
     if (unit.service == service) {
-      load.waiting = demand.Of(unit).waiting;
+      load.waiting = demand.DemandFor(unit).waiting;
     }
   }
 }
@@ -326,7 +326,7 @@
 
 PlacementEffects PlacementKeeper::Tick(const RouteTable& routes,
                                        const std::map<std::string, KnownEndpoint>& endpoints,
-                                       const DemandBoard& demand,
+                                       const DemandTracker& demand,
                                        const LoadTable& loads,
                                        const HeldLease& lease,
                                        TimePoint now) {
--- a/src/rudderloom/placement/placement_keeper_test.cpp
+++ b/src/rudderloom/placement/placement_keeper_test.cpp
@@ -117,7 +117,7 @@
       std::erase_if(delayed_orders, [&](const auto& entry) {
         return entry.first <= ms ? (HandleOrder(entry.second, ms), true) : false;
       });
-      board.Counted(counts, At(ms));
+      board.RecordCounts(counts, At(ms));
       board.Tick(At(ms));
       const HeldLease lease{"node", 1, At(ms + 2'000), announced};
       PlacementEffects effects = keeper.Tick(*routes, ListedEndpoints(), board, {}, lease, At(ms));
@@ -127,7 +127,7 @@
       announced = keeper.Announcements().Own(At(ms));
       forecast = effects.forecast;
       for (const ReportCall& call : effects.report_calls) {
-        keeper.Reported(call.instance, Report(engines[call.instance]), At(ms));
+        keeper.OnReport(call.instance, Report(engines[call.instance]), At(ms));
       }
       for (const PlacementOrder& order : effects.orders) {
         ++sent_orders;
@@ -161,7 +161,7 @@
   RouteTablePtr routes;
   std::map<std::string, FakeEngine> engines;
   std::vector<std::pair<int, PlacementOrder>> delayed_orders;
-  DemandBoard board;
+  DemandTracker board;
   NodeCounts counts;
   std::vector<int> load_starts;
   int sent_orders = 0;
@@ -257,7 +257,7 @@
   simulation.SetDemand("m0", "", 0, 1);
   simulation.Run(keeper, 500, 700, 100);
   REQUIRE(simulation.forecast.size() == 1);
-  keeper.Reported("e0", std::nullopt, At(700));
+  keeper.OnReport("e0", std::nullopt, At(700));
   simulation.Run(keeper, 700, 750, 0);
   CHECK(simulation.forecast.empty());
 }
@@ -380,9 +380,9 @@
   simulation.engines["e0"].models = {{"m0", {}}};
   PlacementKeeper keeper(Duration(5'000), 1.1, Duration(3'000));
   FormerLease former;
-  former.who = FormerHolder::kOtherNode;
+  former.former_holder = FormerHolder::kOtherNode;
   former.inherited = {{"e0", OrderScope::kWeightStore}, {"e1", OrderScope::kLocal}};
-  former.rest = Duration(5'500);
+  former.blocked_for = Duration(5'500);
   keeper.Reset(former, At(0));
   simulation.SetDemand("m1", "", 0, 2);
   simulation.SetDemand("m2", "", 0, 2);
--- a/src/rudderloom/placement/planner.cpp
+++ b/src/rudderloom/placement/planner.cpp
@@ -80,7 +80,7 @@
     for (const ModelSpec& model : input_.spec.models) {
       ModelState& state = models_[model.name];
       state.spec = &model;
-      state.demand = input_.demand.Of({input_.service, model.name, ""});
+      state.demand = input_.demand.DemandFor({input_.service, model.name, ""});
       state.requested = state.demand.waiting > 0 || state.demand.pressure > kNegligiblePressure;
     }
     for (PlanEngine& engine : input_.engines) {
@@ -155,7 +155,7 @@
   bool IsIdle(const ModelState& model) const {
     return model.demand.running + model.demand.waiting == 0 &&
            DemandObservedFor() > kMinDemandObservation &&
-           input_.now - model.demand.asked_at > kLastCopyIdleTime;
+           input_.now - model.demand.last_requested_at > kLastCopyIdleTime;
   }
 
   // Loads are scarce, so models that requests wait for come first and unrequested models last.
@@ -312,7 +312,7 @@
     for (const auto& [unit, demand] : input_.demand.Units()) {
       const bool recently_requested =
           demand.waiting > 0 ||
-          (input_.now - demand.asked_at < kAdapterDemandWindow && demand.pressure > 0.2);
+          (input_.now - demand.last_requested_at < kAdapterDemandWindow && demand.pressure > 0.2);
       if (unit.service == input_.service && !unit.adapter.empty() && recently_requested) {
         wanted.emplace_back(unit, demand);
       }
@@ -396,9 +396,9 @@
     TimePoint oldest = input_.now - kAdapterIdleTime;
     for (const auto& [model, adapters] : engine.models) {
       for (const std::string& adapter : adapters) {
-        const UnitDemand demand = input_.demand.Of({input_.service, model, adapter});
-        if (demand.running == 0 && demand.waiting == 0 && demand.asked_at < oldest) {
-          oldest = demand.asked_at;
+        const UnitDemand demand = input_.demand.DemandFor({input_.service, model, adapter});
+        if (demand.running == 0 && demand.waiting == 0 && demand.last_requested_at < oldest) {
+          oldest = demand.last_requested_at;
           idle_adapter = {model, adapter};
         }
       }
--- a/src/rudderloom/placement/planner_test.cpp
+++ b/src/rudderloom/placement/planner_test.cpp
@@ -21,7 +21,7 @@
 // Engines with room for two models each, and the nodes' demand.
 struct Pool {
   EngineSpec spec;
-  DemandBoard board;
+  DemandTracker board;
   std::vector<PlanEngine> engines;
 
   Pool() {
@@ -58,7 +58,7 @@
     counts.node = "n1";
     counts.units = demand_;
     for (int ms = 0; ms <= 3'000; ms += 100) {
-      board.Counted(counts, At(ms));
+      board.RecordCounts(counts, At(ms));
       board.Tick(At(ms));
     }
   }
@@ -194,16 +194,16 @@
 // Pressure of a model that receives `rate(ms)` requests per second, each taking one second at an
 // endpoint, all of which are rejected.
 double PressureOfRejected(const std::function<double(int)>& rate, int until) {
-  DemandBoard board;
+  DemandTracker board;
   const UnitName unit{kService, "m", ""};
   for (int ms = 0; ms <= until; ms += 100) {
     NodeCounts counts;
     counts.node = "n1";
     counts.units[unit].offered = Duration(static_cast<Duration::rep>(rate(ms) * 100.0));
-    board.Counted(counts, At(ms));
+    board.RecordCounts(counts, At(ms));
     board.Tick(At(ms));
   }
-  return board.Of(unit).pressure;
+  return board.DemandFor(unit).pressure;
 }
 
 TEST_CASE("rejected demand is counted, from its first seconds and along its trend") {
--- a/src/rudderloom/quarantine/crash_book.cpp
+++ b/src/rudderloom/quarantine/crash_book.cpp
@@ -105,7 +105,7 @@
       if (!suspect.quarantined && suspect.unexplained == max_count &&
           suspect.unexplained >= suspect.Threshold()) {
         suspect.quarantined = true;
-        suspect.held_before = true;
+        suspect.quarantined_before = true;
         explained.insert(suspect.endpoints.begin(), suspect.endpoints.end());
       }
     }
@@ -133,13 +133,14 @@
   for (const SuspectEntry& entry : entries) {
     Suspect& suspect = suspects_[entry.request];
     suspect.endpoints = entry.endpoints;
-    suspect.held_before = entry.held_before;
+    suspect.quarantined_before = entry.quarantined_before;
     suspect.last_crash_at = now - entry.age;
   }
   UpdateQuarantine();
   return !std::equal(before.begin(), before.end(), suspects_.begin(), suspects_.end(),
                      [](const Entry& a, const Entry& b) {
-                       return a.first == b.first && a.second.held_before == b.second.held_before &&
+                       return a.first == b.first &&
+                              a.second.quarantined_before == b.second.quarantined_before &&
                               a.second.endpoints == b.second.endpoints;
                      });
 }
@@ -147,9 +148,9 @@
 void CrashBook::Restore(const std::set<RequestDigest>& quarantined, TimePoint now) {
   for (const RequestDigest& request : quarantined) {
     Suspect& suspect = suspects_[request];
-    if (!suspect.held_before) {
+    if (!suspect.quarantined_before) {
       suspect.last_crash_at = now;
-      suspect.held_before = true;
+      suspect.quarantined_before = true;
       suspect.endpoints.insert(PlaceholderEndpoint(request, 0));
     }
   }
@@ -161,8 +162,8 @@
                 [&](const auto& entry) { return now - entry.second >= kClearedRetention; });
   bool changed = false;
   for (auto& [request, suspect] : suspects_) {
-    if (suspect.held_before && now - suspect.last_crash_at >= kQuarantineTime) {
-      suspect.held_before = false;
+    if (suspect.quarantined_before && now - suspect.last_crash_at >= kQuarantineTime) {
+      suspect.quarantined_before = false;
       suspect.last_crash_at = now;
       suspect.endpoints.clear();
       for (std::size_t i = 0; i + 1 < kCrashesToQuarantine; ++i) {
@@ -172,7 +173,8 @@
     }
   }
   const std::size_t removed = std::erase_if(suspects_, [&](const Entry& entry) {
-    return !entry.second.held_before && now - entry.second.last_crash_at >= kSuspectRetention;
+    return !entry.second.quarantined_before &&
+           now - entry.second.last_crash_at >= kSuspectRetention;
   });
   if (changed || removed > 0) {
     UpdateQuarantine();
@@ -197,12 +199,12 @@
   return published;
 }
 
-std::vector<SuspectEntry> CrashBook::Told(TimePoint now) const {
+std::vector<SuspectEntry> CrashBook::PublishedEntries(TimePoint now) const {
   std::vector<SuspectEntry> entries;
   for (const Entry* entry : LatestEntries(kMaxPublished)) {
     const auto& [request, suspect] = *entry;
-    entries.push_back(
-        {request, suspect.endpoints, suspect.held_before, Between(suspect.last_crash_at, now)});
+    entries.push_back({request, suspect.endpoints, suspect.quarantined_before,
+                       Between(suspect.last_crash_at, now)});
   }
   return entries;
 }
--- a/src/rudderloom/quarantine/crash_book_test.cpp
+++ b/src/rudderloom/quarantine/crash_book_test.cpp
@@ -45,7 +45,7 @@
   book.Take(CrashOf(4, {"bad", "a"}), At(300));
   book.Take(CrashOf(4, {"b"}), At(310));
   CHECK(book.List().suspects.empty());
-  CHECK(book.Told(At(400)).size() == 1);
+  CHECK(book.PublishedEntries(At(400)).size() == 1);
 }
 
 TEST_CASE("a request that ran beside the cause in three crashes is released after the fourth") {
@@ -138,9 +138,9 @@
   holder.Take(CrashOf(2, {"bad", "a"}), At(0));
   CrashBook other;
   other.Take(CrashOf(7, {"x"}), At(0));
-  CHECK(other.Replace(holder.Told(At(50)), At(50)));
+  CHECK(other.Replace(holder.PublishedEntries(At(50)), At(50)));
   CHECK(other.List() == holder.List());
-  CHECK_FALSE(other.Replace(holder.Told(At(60)), At(60)));
+  CHECK_FALSE(other.Replace(holder.PublishedEntries(At(60)), At(60)));
   other.Take(CrashOf(3, {"bad"}), At(70));
   CHECK(IsQuarantined(other, "bad"));
 }
@@ -157,7 +157,7 @@
     book.Take(CrashOf(endpoint, {"two" + std::to_string(i)}), At(i));
     book.Take(CrashOf(endpoint + 1, {"two" + std::to_string(i)}), At(i));
   }
-  CHECK(book.Told(At(4'000)).size() <= 256);
+  CHECK(book.PublishedEntries(At(4'000)).size() <= 256);
   CHECK(IsQuarantined(book, "bad"));
 }
 
--- a/src/rudderloom/quarantine/crash_news.cpp
+++ b/src/rudderloom/quarantine/crash_news.cpp
@@ -19,7 +19,7 @@
 
 }  // namespace
 
-void AddNews(const CrashNews& earlier, CrashNews& newer) {
+void MergeNews(const CrashNews& earlier, CrashNews& newer) {
   InsertUpTo(kMaxPerReport, earlier.crashes, newer.crashes);
   InsertUpTo(kMaxPerReport, earlier.cleared, newer.cleared);
 }
--- a/src/rudderloom/quarantine/news_log.cpp
+++ b/src/rudderloom/quarantine/crash_news_log.cpp
@@ -1,4 +1,4 @@
-#include "rudderloom/quarantine/news_log.hpp"
+#include "rudderloom/quarantine/crash_news_log.hpp"
 
 #include <algorithm>  // for set_difference
 #include <iterator>   // for inserter
@@ -20,7 +20,7 @@
 
 }  // namespace
 
-bool NewsLog::Add(const CrashNews& news, TimePoint now) {
+bool CrashNewsLog::Add(const CrashNews& news, TimePoint now) {
   const CrashNews known = Current(now);
   const CrashNews added{Without(news.crashes, known.crashes), Without(news.cleared, known.cleared)};
   if (added.Empty()) {
@@ -30,14 +30,14 @@
   return true;
 }
 
-CrashNews NewsLog::Current(TimePoint now) {
+CrashNews CrashNewsLog::Current(TimePoint now) {
   while (!entries_.empty() && now - entries_.front().since >= kReportTime) {
     entries_.pop_front();
   }
   CrashNews current;
   // Latest first, since the size of a report is bounded.
   for (auto entry = entries_.rbegin(); entry != entries_.rend(); ++entry) {
-    AddNews(entry->news, current);
+    MergeNews(entry->news, current);
   }
   return current;
 }
--- a/src/rudderloom/quarantine/crash_watch.cpp
+++ b/src/rudderloom/quarantine/crash_watch.cpp
@@ -17,10 +17,10 @@
 
 }  // namespace
 
-bool CrashWatch::Broke(const std::string& instance,
-                       const RequestDigest& request,
-                       TimePoint sent_at,
-                       TimePoint now) {
+bool CrashWatch::RecordFailure(const std::string& instance,
+                               const RequestDigest& request,
+                               TimePoint sent_at,
+                               TimePoint now) {
   if (RecentlyAnswered(request)) {
     return false;
   }
--- a/src/rudderloom/quarantine/crash_watch_test.cpp
+++ b/src/rudderloom/quarantine/crash_watch_test.cpp
@@ -2,7 +2,7 @@
 
 #include <doctest/doctest.h>  // for TEST_CASE
 
-#include "rudderloom/quarantine/news_log.hpp"  // for NewsLog
+#include "rudderloom/quarantine/crash_news_log.hpp"  // for CrashNewsLog
 
 namespace rudderloom {
 namespace {
@@ -17,44 +17,44 @@
 
 TEST_CASE("requests that failed in a crash are reported, whichever is observed first") {
   CrashWatch watch;
-  CHECK(watch.Broke("e1", Request("a"), At(-40), At(0)));
-  CHECK_FALSE(watch.Broke("e1", Request("b"), At(-10), At(1)));
-  CHECK_FALSE(watch.HasNews());
+  CHECK(watch.RecordFailure("e1", Request("a"), At(-40), At(0)));
+  CHECK_FALSE(watch.RecordFailure("e1", Request("b"), At(-10), At(1)));
+  CHECK_FALSE(watch.HasObservations());
   watch.Ended("e1", At(3));
-  CHECK_FALSE(watch.Broke("e1", Request("c"), At(-900), At(4)));
+  CHECK_FALSE(watch.RecordFailure("e1", Request("c"), At(-900), At(4)));
   const CrashNews news = watch.Take();
   const EndpointKey key = KeyOf("e1");
   CHECK(news.crashes ==
         std::set<RequestCrash>{{Request("a"), key}, {Request("b"), key}, {Request("c"), key}});
-  CHECK_FALSE(watch.HasNews());
+  CHECK_FALSE(watch.HasObservations());
 }
 
 TEST_CASE("a connection failure without a crash is not reported") {
   CrashWatch watch;
-  watch.Broke("e1", Request("reset"), At(-1), At(0));
-  watch.Broke("e2", Request("other"), At(-1), At(0));
+  watch.RecordFailure("e1", Request("reset"), At(-1), At(0));
+  watch.RecordFailure("e2", Request("other"), At(-1), At(0));
   watch.Ended("e2", At(5'000));
   watch.Ended("e3", At(5'000));
-  CHECK_FALSE(watch.HasNews());
+  CHECK_FALSE(watch.HasObservations());
   // The next failure is probed again.
-  CHECK(watch.Broke("e1", Request("reset"), At(4'000), At(5'000)));
+  CHECK(watch.RecordFailure("e1", Request("reset"), At(4'000), At(5'000)));
   watch.Trim(At(10'000));
-  CHECK(watch.Broke("e1", Request("later"), At(9'000), At(10'000)));
+  CHECK(watch.RecordFailure("e1", Request("later"), At(9'000), At(10'000)));
 }
 
 TEST_CASE("requests sent after the crash or answered before are not reported") {
   CrashWatch watch;
   watch.Answered(Request("usual"), nullptr);
-  CHECK(watch.Broke("e1", Request("bad"), At(-40), At(0)));
-  CHECK_FALSE(watch.Broke("e1", Request("usual"), At(-30), At(0)));
-  CHECK_FALSE(watch.Broke("e1", Request("late"), At(2), At(20)));
+  CHECK(watch.RecordFailure("e1", Request("bad"), At(-40), At(0)));
+  CHECK_FALSE(watch.RecordFailure("e1", Request("usual"), At(-30), At(0)));
+  CHECK_FALSE(watch.RecordFailure("e1", Request("late"), At(2), At(20)));
   watch.Ended("e1", At(30));
   CHECK(watch.Take().crashes == std::set<RequestCrash>{{Request("bad"), KeyOf("e1")}});
   // Evicted after some thousand further answers.
   for (int i = 0; i < 5'000; ++i) {
     watch.Answered(Request(std::to_string(i)), nullptr);
   }
-  CHECK(watch.Broke("e2", Request("usual"), At(90), At(100)));
+  CHECK(watch.RecordFailure("e2", Request("usual"), At(90), At(100)));
 }
 
 TEST_CASE("an answer clears a suspect or quarantined request") {
@@ -62,14 +62,14 @@
   const auto list = std::make_shared<const QuarantineList>(
       QuarantineList{{Request("held")}, {Request("suspect")}});
   watch.Answered(Request("usual"), list);
-  CHECK_FALSE(watch.HasNews());
+  CHECK_FALSE(watch.HasObservations());
   watch.Answered(Request("held"), list);
   watch.Answered(Request("suspect"), list);
   CHECK(watch.Take().cleared == std::set<RequestDigest>{Request("held"), Request("suspect")});
 }
 
 TEST_CASE("observations are reported for some seconds, and count as new only once") {
-  NewsLog log;
+  CrashNewsLog log;
   const CrashNews first{{{Request("a"), 1}}, {}};
   const CrashNews second{{{Request("a"), 1}, {Request("b"), 2}}, {Request("c")}};
   CHECK(log.Add(first, At(0)));
--- a/src/rudderloom/quota/grant_book.cpp
+++ b/src/rudderloom/quota/grant_book.cpp
@@ -7,7 +7,7 @@
 
 std::string_view NameOf(SpendVerdict verdict) {
   switch (verdict) {
-    case SpendVerdict::kCantSay:
+    case SpendVerdict::kUndecided:
       return "cant_say";
     case SpendVerdict::kGranted:
       return "granted";
@@ -21,25 +21,25 @@
   const QuotaLimit& limit = basis.limits.at(customer);
   const auto reported = basis.balances.find(customer);
   if (reported == basis.balances.end()) {
-    return UnknownLevel(basis.unknown, limit, bounds_, basis.unknown_since, now);
+    return AssumedLevel(basis.assumed, limit, bounds_, basis.unknown_since, now);
   }
   const double age = std::chrono::duration<double>(now - basis.made_at).count();
   const double level = static_cast<double>(reported->second.level) +
                        static_cast<double>(limit.per_second) * std::max(0.0, age);
-  return std::min(level, static_cast<double>(MostAhead(limit, bounds_)));
+  return std::min(level, static_cast<double>(MaxBalance(limit, bounds_)));
 }
 
 double GrantBook::Available(CustomerKey customer, const GrantBasis& basis, TimePoint now) const {
-  const double level = basis.part * LevelOf(customer, basis, now);
+  const double level = basis.fraction * LevelOf(customer, basis, now);
   const auto granted = outstanding_sums_.find(customer);
   const double outstanding =
       granted == outstanding_sums_.end() ? 0.0 : static_cast<double>(granted->second);
-  return level - kSharedPart * std::max(0.0, level) - outstanding;
+  return level - kSharedFraction * std::max(0.0, level) - outstanding;
 }
 
-SpendAnswer GrantBook::Ask(const SpendAsk& ask, const GrantBasis& basis, TimePoint now) {
+SpendAnswer GrantBook::Ask(const SpendRequest& ask, const GrantBasis& basis, TimePoint now) {
   while (!outstanding_.empty() && outstanding_.front().number <= basis.counted) {
-    const SpendAsk& counted = outstanding_.front().ask;
+    const SpendRequest& counted = outstanding_.front().ask;
     outstanding_sums_[counted.customer] -= counted.amount;
     outstanding_.pop_front();
   }
@@ -50,7 +50,8 @@
   const double available = Available(ask.customer, basis, now);
   if (available < 0.0) {
     constexpr double kMillisecondsPerSecond = 1'000.0;
-    const double rate = basis.part * static_cast<double>(basis.limits.at(ask.customer).per_second);
+    const double rate =
+        basis.fraction * static_cast<double>(basis.limits.at(ask.customer).per_second);
     const double wait = std::ceil(-available / rate * kMillisecondsPerSecond);
     return {SpendVerdict::kRefused, Duration(static_cast<Duration::rep>(wait))};
   }
--- a/src/rudderloom/quota/grant_book_test.cpp
+++ b/src/rudderloom/quota/grant_book_test.cpp
@@ -55,11 +55,13 @@
 
 TEST_CASE("no decision is given for an unknown customer or if the lease may have expired") {
   GrantBook book(kBounds);
-  CHECK(book.Ask({kCustomer, 1}, MakeBasis(2'000, 0), At(3'000)).verdict == SpendVerdict::kCantSay);
-  CHECK(book.Ask({kCustomer + 1, 1}, MakeBasis(2'000, 0), At(0)).verdict == SpendVerdict::kCantSay);
+  CHECK(book.Ask({kCustomer, 1}, MakeBasis(2'000, 0), At(3'000)).verdict ==
+        SpendVerdict::kUndecided);
+  CHECK(book.Ask({kCustomer + 1, 1}, MakeBasis(2'000, 0), At(0)).verdict ==
+        SpendVerdict::kUndecided);
   GrantBasis later = MakeBasis(2'000, 0);
   later.valid_from = At(100);
-  CHECK(book.Ask({kCustomer, 1}, later, At(99)).verdict == SpendVerdict::kCantSay);
+  CHECK(book.Ask({kCustomer, 1}, later, At(99)).verdict == SpendVerdict::kUndecided);
   CHECK(book.Ask({kCustomer, 1}, later, At(100)).verdict == SpendVerdict::kGranted);
 }
 
@@ -67,21 +69,21 @@
   GrantBasis basis = MakeBasis(0, 0);
   basis.balances.clear();
   basis.unknown_since = At(0);
-  const auto granted = [&](UnknownBalance unknown, int ms) {
+  const auto granted = [&](AssumedBalance unknown, int ms) {
     GrantBook book(kBounds);
-    basis.unknown = unknown;
+    basis.assumed = unknown;
     return GrantUntilRefused(book, basis, At(ms));
   };
-  CHECK(granted(UnknownBalance::kWhole, 0) == 1'800);
-  CHECK(granted(UnknownBalance::kQuarter, 0) == 600);
-  CHECK(granted(UnknownBalance::kEmpty, 0) == 300);
-  CHECK(granted(UnknownBalance::kEmpty, 1'000) == 900);
+  CHECK(granted(AssumedBalance::kFull, 0) == 1'800);
+  CHECK(granted(AssumedBalance::kQuarter, 0) == 600);
+  CHECK(granted(AssumedBalance::kEmpty, 0) == 300);
+  CHECK(granted(AssumedBalance::kEmpty, 1'000) == 900);
 }
 
 TEST_CASE("without a holder, relays grant their fraction of the balance") {
   GrantBook book(kBounds);
   GrantBasis basis = MakeBasis(2'000, 0);
-  basis.part = 0.25;
+  basis.fraction = 0.25;
   // 375, and an overdraft of one request.
   CHECK(GrantUntilRefused(book, basis, At(0)) == 600);
 }
--- a/src/rudderloom/quota/quota_account.cpp
+++ b/src/rudderloom/quota/quota_account.cpp
@@ -22,17 +22,17 @@
 }  // namespace
 
 double QuotaAccount::MaxShare(const Account& account) const {
-  return account.share * static_cast<double>(MostAhead(account.limit, bounds_));
+  return account.share * static_cast<double>(MaxBalance(account.limit, bounds_));
 }
 
-bool QuotaAccount::WordFresh(TimePoint now) const {
-  return snapshot_ && now - snapshot_->made_at < kGrantsWithWord;
+bool QuotaAccount::HasFreshDigest(TimePoint now) const {
+  return snapshot_ && now - snapshot_->made_at < kMaxGrantDigestAge;
 }
 
 // Per second: the shared fraction while other nodes grant the rest, otherwise the full share.
 double QuotaAccount::RefillRate(const Account& account, GranterReach reach, TimePoint now) const {
-  const bool alone = reach == GranterReach::kUnreachable && !WordFresh(now);
-  const double fraction = alone ? 1.0 : kSharedPart;
+  const bool alone = reach == GranterReach::kUnreachable && !HasFreshDigest(now);
+  const double fraction = alone ? 1.0 : kSharedFraction;
   return fraction * account.share * static_cast<double>(account.limit.per_second);
 }
 
@@ -56,16 +56,16 @@
     account.refilled_at = now;
     account.share = 1.0 / kAssumedNodes;
     // The holder lists all active customers: any other customer has a full balance.
-    account.balance = WordFresh(now) ? kSharedPart * MaxShare(account) : 0.0;
+    account.balance = HasFreshDigest(now) ? kSharedFraction * MaxShare(account) : 0.0;
     ApplySnapshot(customer, account, now);
   }
   return account;
 }
 
-void QuotaAccount::Asked(CustomerKey customer,
-                         const QuotaLimit& limit,
-                         std::uint64_t amount,
-                         TimePoint now) {
+void QuotaAccount::RecordRequest(CustomerKey customer,
+                                 const QuotaLimit& limit,
+                                 std::uint64_t amount,
+                                 TimePoint now) {
   Account& account = FindOrCreate(customer, limit, now);
   account.asked.Add(amount, now);
   account.asked_at = now;
@@ -98,7 +98,7 @@
   accounts_[customer].refused_until = now + std::min(wait, kMaxRefusalTime);
 }
 
-void QuotaAccount::GiveBack(CustomerKey customer, std::uint64_t amount) {
+void QuotaAccount::Refund(CustomerKey customer, std::uint64_t amount) {
   const auto found = accounts_.find(customer);
   if (found == accounts_.end()) {
     return;
@@ -127,12 +127,12 @@
                        static_cast<double>(account.limit.per_second) * std::max(0.0, age);
   // A negative balance is recovered by the holder, which grants nothing in the meantime.
   const double shared =
-      kSharedPart * std::max(0.0, std::min(MaxShare(account), account.share * level));
+      kSharedFraction * std::max(0.0, std::min(MaxShare(account), account.share * level));
   account.balance = shared - static_cast<double>(account.total_spent - own);
   account.refilled_at = now;
 }
 
-void QuotaAccount::Heard(QuotaWordPtr snapshot, TimePoint now) {
+void QuotaAccount::ApplyDigest(QuotaSnapshotPtr snapshot, TimePoint now) {
   if (snapshot == snapshot_) {
     return;
   }
@@ -145,7 +145,7 @@
 SpendingTable QuotaAccount::Take(TimePoint now) {
   SpendingTable table;
   for (auto& [customer, account] : accounts_) {
-    const bool active = now - account.asked_at < kAsksFor;
+    const bool active = now - account.asked_at < kActiveNodeTime;
     if (!active && account.unreported == Spending()) {
       continue;
     }
--- a/src/rudderloom/quota/quota_account_test.cpp
+++ b/src/rudderloom/quota/quota_account_test.cpp
@@ -18,11 +18,11 @@
   return TimePoint(std::chrono::hours(1)) + Duration(milliseconds);
 }
 
-QuotaWordPtr MakeSnapshot(std::int64_t level,
-                          std::uint32_t nodes,
-                          std::uint64_t asked,
-                          int made_at) {
-  auto snapshot = std::make_shared<QuotaWord>();
+QuotaSnapshotPtr MakeSnapshot(std::int64_t level,
+                              std::uint32_t nodes,
+                              std::uint64_t asked,
+                              int made_at) {
+  auto snapshot = std::make_shared<QuotaSnapshot>();
   snapshot->made_at = At(made_at);
   snapshot->balances[kCustomer] = {level, nodes, asked};
   return snapshot;
@@ -33,14 +33,14 @@
                                    const QuotaLimit& limit,
                                    std::uint64_t amount,
                                    TimePoint now) {
-  account.Asked(kCustomer, limit, amount, now);
+  account.RecordRequest(kCustomer, limit, amount, now);
   const QuotaDecision decision = account.Decide(kCustomer, amount, GranterReach::kUnreachable, now);
   return decision.verdict == QuotaVerdict::kGranted ? std::nullopt : std::optional(decision.wait);
 }
 
 // One request on a node that can ask the holder.
 QuotaVerdict SpendOrAsk(QuotaAccount& account, std::uint64_t amount, TimePoint now) {
-  account.Asked(kCustomer, kLimit, amount, now);
+  account.RecordRequest(kCustomer, kLimit, amount, now);
   return account.Decide(kCustomer, amount, GranterReach::kReachable, now).verdict;
 }
 
@@ -56,7 +56,7 @@
 
 TEST_CASE("requests larger than the node's share are asked for, small ones are not") {
   QuotaAccount account(kBounds);
-  account.Heard(MakeSnapshot(90'000, 60, 15'000, 0), At(0));
+  account.ApplyDigest(MakeSnapshot(90'000, 60, 15'000, 0), At(0));
   // 1/120 of a quarter of the balance, plus a part by local demand.
   CHECK(SpendOrAsk(account, 100, At(0)) == QuotaVerdict::kGranted);
   CHECK(SpendOrAsk(account, kRequest, At(0)) == QuotaVerdict::kAsk);
@@ -64,7 +64,7 @@
 
 TEST_CASE("after a refusal by the holder, requests are briefly refused without asking") {
   QuotaAccount account(kBounds);
-  account.Heard(MakeSnapshot(-5'000, 60, 90'000, 0), At(0));
+  account.ApplyDigest(MakeSnapshot(-5'000, 60, 90'000, 0), At(0));
   CHECK(SpendOrAsk(account, kRequest, At(0)) == QuotaVerdict::kAsk);
   account.RefusedByGranter(kCustomer, Duration(700), At(10));
   CHECK(SpendOrAsk(account, kRequest, At(200)) == QuotaVerdict::kRefused);
@@ -73,12 +73,12 @@
 
 TEST_CASE("the shared part of a balance is divided among the nodes that the customer uses") {
   QuotaAccount account(kBounds);
-  account.Asked(kCustomer, kLimit, 0, At(0));
-  account.Heard(MakeSnapshot(60'000, 4, 0, 0), At(0));
+  account.RecordRequest(kCustomer, kLimit, 0, At(0));
+  account.ApplyDigest(MakeSnapshot(60'000, 4, 0, 0), At(0));
   // A quarter of the balance is shared. One half of it is divided equally among four nodes, the
   // other half by demand, which is all on this node.
-  account.Asked(kCustomer, kLimit, 1, At(0));
-  account.Heard(MakeSnapshot(60'000, 4, 0, 0), At(0));
+  account.RecordRequest(kCustomer, kLimit, 1, At(0));
+  account.ApplyDigest(MakeSnapshot(60'000, 4, 0, 0), At(0));
   std::uint64_t granted = 0;
   while (SpendOrAsk(account, 100, At(0)) == QuotaVerdict::kGranted) {
     granted += 100;
@@ -90,18 +90,18 @@
 TEST_CASE("spending that is not included in a balance is deducted from it") {
   QuotaAccount account(kBounds);
   SpendAlone(account, kLimit, kRequest, At(0));
-  account.Heard(MakeSnapshot(4 * kRequest - 8, 1, 0, 0), At(0));
+  account.ApplyDigest(MakeSnapshot(4 * kRequest - 8, 1, 0, 0), At(0));
   CHECK(SpendAlone(account, kLimit, kRequest, At(0)));
-  auto later = std::make_shared<QuotaWord>(*MakeSnapshot(4 * kRequest, 1, 0, 1));
+  auto later = std::make_shared<QuotaSnapshot>(*MakeSnapshot(4 * kRequest, 1, 0, 1));
   later->counted[kCustomer] = kRequest;
-  account.Heard(later, At(1));
+  account.ApplyDigest(later, At(1));
   CHECK(SpendOrAsk(account, kRequest, At(1)) == QuotaVerdict::kGranted);
 }
 
 TEST_CASE("the wait time of a refusal over the limit is accurate") {
   QuotaAccount account(kBounds);
   SpendAlone(account, kLimit, 60'000, At(0));
-  account.Heard(MakeSnapshot(0, 1, 100'000, 0), At(0));
+  account.ApplyDigest(MakeSnapshot(0, 1, 100'000, 0), At(0));
   const auto wait = SpendAlone(account, kLimit, kRequest, At(1'600));
   REQUIRE(wait);
   const int ms = 1'600 + static_cast<int>(wait->count());
@@ -111,8 +111,8 @@
 
 TEST_CASE("without further digests a node keeps its share of the rate") {
   QuotaAccount account(kBounds);
-  account.Asked(kCustomer, kLimit, 0, At(0));
-  account.Heard(MakeSnapshot(0, 2, 0, 0), At(0));
+  account.RecordRequest(kCustomer, kLimit, 0, At(0));
+  account.ApplyDigest(MakeSnapshot(0, 2, 0, 0), At(0));
   std::uint64_t granted = 0;
   for (int ms = 2'000; ms < 12'000; ms += 10) {
     granted += SpendAlone(account, kLimit, 100, At(ms)) ? 0 : 100;
@@ -127,7 +127,7 @@
   QuotaAccount account(kBounds);
   CHECK_FALSE(SpendAlone(account, kLimit, kRequest, At(0)));
   CHECK(SpendAlone(account, kLimit, kRequest, At(1)));
-  account.GiveBack(kCustomer, kRequest);
+  account.Refund(kCustomer, kRequest);
   CHECK_FALSE(SpendAlone(account, kLimit, 500, At(2)));
   const SpendingTable reported = account.Take(At(3));
   CHECK(reported.at(kCustomer) == Spending{500, 2 * kRequest + 500, 1});
@@ -137,7 +137,7 @@
 
 TEST_CASE("a lower limit applies from the next request on") {
   QuotaAccount account(kBounds);
-  account.Heard(MakeSnapshot(900'000, 1, 0, 0), At(0));
+  account.ApplyDigest(MakeSnapshot(900'000, 1, 0, 0), At(0));
   QuotaLimit limit = kLimit;
   limit.per_second = 600'000;
   limit.burst = 600'000;
@@ -146,7 +146,7 @@
   while (!SpendAlone(account, kLimit, kRequest, At(1))) {
     granted += kRequest;
   }
-  CHECK(granted <= static_cast<std::uint64_t>(MostAhead(kLimit, kBounds)) + kRequest);
+  CHECK(granted <= static_cast<std::uint64_t>(MaxBalance(kLimit, kBounds)) + kRequest);
 }
 
 }  // namespace
--- a/src/rudderloom/quota/quota_ledger.cpp
+++ b/src/rudderloom/quota/quota_ledger.cpp
@@ -4,7 +4,7 @@
 
 namespace rudderloom {
 
-void QuotaLedger::Begin(const FormerBalances& former, UnknownBalance unknown, TimePoint now) {
+void QuotaLedger::Begin(const PreviousBalances& former, AssumedBalance unknown, TimePoint now) {
   former_ = former;
   unknown_ = unknown;
   begun_at_ = now;
@@ -23,7 +23,7 @@
     entry.level = static_cast<double>(known->second.level);
     entry.refilled_at = former_.made_at;
   } else {
-    entry.level = UnknownLevel(unknown_, limit, bounds_, begun_at_, now);
+    entry.level = AssumedLevel(unknown_, limit, bounds_, begun_at_, now);
     entry.refilled_at = now;
   }
   return entry;
@@ -34,12 +34,12 @@
   const auto rate = static_cast<double>(limit.per_second);
   const double seconds = std::chrono::duration<double>(now - entry.refilled_at).count();
   const double min_level = -rate * std::chrono::duration<double>(bounds_.window).count();
-  const auto max_level = static_cast<double>(MostAhead(limit, bounds_));
+  const auto max_level = static_cast<double>(MaxBalance(limit, bounds_));
   entry.level = std::clamp(entry.level + rate * std::max(0.0, seconds), min_level, max_level);
   entry.refilled_at = now;
 }
 
-void QuotaLedger::Move(const SpendingTable& reported, const QuotaLimits& limits, TimePoint now) {
+void QuotaLedger::Update(const SpendingTable& reported, const QuotaLimits& limits, TimePoint now) {
   std::erase_if(entries_, [&](const auto& entry) { return !limits.contains(entry.first); });
   for (const auto& [customer, spending] : reported) {
     if (const auto limit = limits.find(customer); limit != limits.end()) {
@@ -57,7 +57,7 @@
   }
 }
 
-void QuotaLedger::Granted(const SpendAsk& granted, const QuotaLimits& limits, TimePoint now) {
+void QuotaLedger::Granted(const SpendRequest& granted, const QuotaLimits& limits, TimePoint now) {
   const auto limit = limits.find(granted.customer);
   if (limit != limits.end()) {
     FindOrCreate(granted.customer, limit->second, now).level -= static_cast<double>(granted.amount);
--- a/src/rudderloom/quota/quota_model_test.cpp
+++ b/src/rudderloom/quota/quota_model_test.cpp
@@ -60,7 +60,7 @@
     for (int i = 0; i < kNodes; ++i) {
       Start(i);
     }
-    Begin(0, UnknownBalance::kWhole);
+    Begin(0, AssumedBalance::kFull);
   }
 
   // Returns the maximum amount granted within any window.
@@ -91,7 +91,7 @@
   struct Node {
     std::optional<QuotaAccount> account;
     std::optional<SpendingLog> log;
-    QuotaWordPtr snapshot;
+    QuotaSnapshotPtr snapshot;
     int silent_until = 0;
   };
 
@@ -103,10 +103,10 @@
     nodes_[static_cast<std::size_t>(node)].log.emplace(1'000 * ++incarnations_);
   }
 
-  void Begin(int node, UnknownBalance unknown) {
+  void Begin(int node, AssumedBalance unknown) {
     holder_ = node;
-    const QuotaWordPtr& snapshot = nodes_[static_cast<std::size_t>(node)].snapshot;
-    FormerBalances former;
+    const QuotaSnapshotPtr& snapshot = nodes_[static_cast<std::size_t>(node)].snapshot;
+    PreviousBalances former;
     if (snapshot) {
       former = {snapshot->balances, snapshot->made_at};
     }
@@ -166,14 +166,14 @@
   // Decides like the traffic thread of a node.
   bool TryRequest(int index) {
     QuotaAccount& account = *nodes_[static_cast<std::size_t>(index)].account;
-    account.Asked(kCustomer, kSetup.limit, kRequest, Now());
+    account.RecordRequest(kCustomer, kSetup.limit, kRequest, Now());
     const QuotaVerdict verdict =
         account.Decide(kCustomer, kRequest, GranterReach::kReachable, Now()).verdict;
     if (verdict != QuotaVerdict::kAsk) {
       return verdict == QuotaVerdict::kGranted;
     }
     const SpendAnswer answer = AskHolder(index);
-    if (answer.verdict == SpendVerdict::kCantSay) {
+    if (answer.verdict == SpendVerdict::kUndecided) {
       return account.Decide(kCustomer, kRequest, GranterReach::kUnreachable, Now()).verdict ==
              QuotaVerdict::kGranted;
     }
@@ -215,7 +215,7 @@
   void Report(const std::vector<Fault>& faults) {
     for (int i = 0; i < kNodes; ++i) {
       Node& node = nodes_[static_cast<std::size_t>(i)];
-      node.log->CountedSelf(node.account->Take(Now()));
+      node.log->RecordOwn(node.account->Take(Now()));
       if (i == holder_) {
         continue;
       }
@@ -223,17 +223,17 @@
       const bool lost = holder_ < 0 || IsSilent(i) || IsSilent(holder_) ||
                         HasFault(faults, i, FaultKind::kReportLost);
       if (lost) {
-        node.log->Failed(report.number);
+        node.log->MarkFailed(report.number);
         continue;
       }
       SpendingLog& holder = *nodes_[static_cast<std::size_t>(holder_)].log;
       const auto counted = holder.ReportsCounted();
-      holder.Counted(std::to_string(i), report.number, report.table, Now());
+      holder.RecordMember(std::to_string(i), report.number, report.table, Now());
       if (HasFault(faults, i, FaultKind::kAnswerLost)) {
-        node.log->Failed(report.number);
+        node.log->MarkFailed(report.number);
         continue;
       }
-      node.log->Arrived(report.number);
+      node.log->MarkDelivered(report.number);
       if (const auto found = counted.find(std::to_string(i)); found != counted.end()) {
         node.log->Confirmed(found->second);
       }
@@ -243,38 +243,38 @@
     }
   }
 
-  void DeliverSnapshot(Node& node, const QuotaWord& published) {
-    auto snapshot = std::make_shared<QuotaWord>(published);
+  void DeliverSnapshot(Node& node, const QuotaSnapshot& published) {
+    auto snapshot = std::make_shared<QuotaSnapshot>(published);
     snapshot->counted = node.log->OwnCounted();
     node.snapshot = snapshot;
-    node.account->Heard(snapshot, Now());
+    node.account->ApplyDigest(snapshot, Now());
   }
 
   // The holder processes reports after the answers were sent, so these carry its previous balances.
   void StepHolder() {
     if (holder_ < 0) {
       if (step_ >= takeover_step_) {
-        Begin(next_holder_, UnknownBalance::kEmpty);
+        Begin(next_holder_, AssumedBalance::kEmpty);
       }
       return;
     }
     Node& node = nodes_[static_cast<std::size_t>(holder_)];
     const SpendingReport report = node.log->Take(Now());
-    ledger_->Move(report.table, {{kCustomer, kSetup.limit}}, Now());
+    ledger_->Update(report.table, {{kCustomer, kSetup.limit}}, Now());
     for (const SpendGrant& grant : granted_) {
       ledger_->Granted(grant.ask, {{kCustomer, kSetup.limit}}, Now());
       grants_counted_ = grant.number;
     }
     granted_.clear();
-    node.log->Arrived(report.number);
+    node.log->MarkDelivered(report.number);
     node.log->Confirmed(report.number);
-    published_ = QuotaWord{Now(), ledger_->Balances(Now()), {}};
+    published_ = QuotaSnapshot{Now(), ledger_->Balances(Now()), {}};
     DeliverSnapshot(node, *published_);
   }
 
   std::array<Node, kNodes> nodes_;
   std::optional<QuotaLedger> ledger_;
-  std::optional<QuotaWord> published_;
+  std::optional<QuotaSnapshot> published_;
   std::optional<GrantBook> grants_;
   std::vector<SpendGrant> granted_;  // in transit from the book to the ledger
   std::uint64_t grants_counted_ = 0;
--- a/src/rudderloom/quota/spending.cpp
+++ b/src/rudderloom/quota/spending.cpp
@@ -18,29 +18,29 @@
 
 }  // namespace
 
-std::int64_t MostAhead(const QuotaLimit& limit, const QuotaBounds& bounds) {
+std::int64_t MaxBalance(const QuotaLimit& limit, const QuotaBounds& bounds) {
   const auto burst = static_cast<double>(limit.burst);
   const double allowed = static_cast<double>(limit.per_second) * Seconds(bounds.window) + burst;
   return static_cast<std::int64_t>(burst + kOvershootFraction *
                                                (bounds.overshoot * allowed + bounds.slack));
 }
 
-double UnknownLevel(UnknownBalance unknown,
+double AssumedLevel(AssumedBalance unknown,
                     const QuotaLimit& limit,
                     const QuotaBounds& bounds,
                     TimePoint since,
                     TimePoint now) {
   constexpr double kQuarter = 0.25;
-  const auto max_level = static_cast<double>(MostAhead(limit, bounds));
-  if (unknown == UnknownBalance::kWhole) {
+  const auto max_level = static_cast<double>(MaxBalance(limit, bounds));
+  if (unknown == AssumedBalance::kFull) {
     return max_level;
   }
   const double seconds = std::max(0.0, std::chrono::duration<double>(now - since).count());
-  const double level = unknown == UnknownBalance::kQuarter ? kQuarter * max_level : 0.0;
+  const double level = unknown == AssumedBalance::kQuarter ? kQuarter * max_level : 0.0;
   return std::min(max_level, level + static_cast<double>(limit.per_second) * seconds);
 }
 
-void AddUntold(const SpendingTable& earlier, SpendingTable& newer) {
+void MergeUnreported(const SpendingTable& earlier, SpendingTable& newer) {
   for (const auto& [customer, spending] : earlier) {
     Spending& sum = newer[customer];
     sum.spent += spending.spent;
@@ -48,12 +48,12 @@
   }
 }
 
-void FadingRate::Add(std::uint64_t amount, TimePoint now) {
+void DecayingRate::Add(std::uint64_t amount, TimePoint now) {
   sum_ = PerSecond(now) * kDecaySeconds + static_cast<double>(amount);
   decayed_at_ = now;
 }
 
-double FadingRate::PerSecond(TimePoint now) const {
+double DecayingRate::PerSecond(TimePoint now) const {
   const double seconds = std::chrono::duration<double>(now - decayed_at_).count();
   return sum_ / kDecaySeconds * std::exp(-seconds / kDecaySeconds);
 }
--- a/src/rudderloom/quota/spending_log.cpp
+++ b/src/rudderloom/quota/spending_log.cpp
@@ -15,19 +15,19 @@
 
 }  // namespace
 
-void SpendingLog::CountedSelf(const SpendingTable& own) {
-  AddUntold(own, pending_);
+void SpendingLog::RecordOwn(const SpendingTable& own) {
+  MergeUnreported(own, pending_);
   for (const auto& [customer, spending] : own) {
     pending_own_[customer] += spending.spent;
   }
   own_asking_ = own;
 }
 
-void SpendingLog::Counted(const std::string& node,
-                          std::uint64_t number,
-                          const SpendingTable& reported,
-                          TimePoint now) {
-  AddUntold(reported, pending_);
+void SpendingLog::RecordMember(const std::string& node,
+                               std::uint64_t number,
+                               const SpendingTable& reported,
+                               TimePoint now) {
+  MergeUnreported(reported, pending_);
   pending_reports_[node] = number;
   members_[node] = {reported, now};
 }
@@ -56,18 +56,18 @@
   return report;
 }
 
-void SpendingLog::Arrived(std::uint64_t number) {
+void SpendingLog::MarkDelivered(std::uint64_t number) {
   for (Sent& sent : sent_) {
     sent.arrived = sent.arrived || sent.number <= number;
   }
 }
 
-void SpendingLog::Failed(std::uint64_t number) {
+void SpendingLog::MarkFailed(std::uint64_t number) {
   std::erase_if(sent_, [&](const Sent& sent) {
     if (sent.arrived || sent.number > number) {
       return false;
     }
-    AddUntold(sent.table, pending_);
+    MergeUnreported(sent.table, pending_);
     for (const auto& [customer, spent] : sent.own) {
       pending_own_[customer] += spent;
     }
--- a/src/rudderloom/residency/pool_keeper.cpp
+++ b/src/rudderloom/residency/pool_keeper.cpp
@@ -181,7 +181,7 @@
                reservation.state != UnitState::kLoading;
     } else {
       SilentSender& silent_sender = silent_senders_[*sender];
-      if (!view.quiet(*sender, draft_.epoch)) {
+      if (!view.is_silent(*sender, draft_.epoch)) {
         silent_sender.since.reset();
       } else if (!silent_sender.since) {
         silent_sender.since = now;
--- a/src/rudderloom/residency/pool_keeper_test.cpp
+++ b/src/rudderloom/residency/pool_keeper_test.cpp
@@ -11,10 +11,10 @@
 namespace {
 
 using fakes::Fault;
-using fakes::Findings;
 using fakes::PoolWorld;
+using fakes::PoolWorldResult;
+using fakes::PoolWorldSettings;
 using fakes::Step;
-using fakes::WorldSettings;
 
 const std::vector<Step> kOrderSteps{Step::kDecided,      Step::kIntended,  Step::kSent,
                                     Step::kTakingEffect, Step::kConfirmed, Step::kRecorded};
@@ -54,7 +54,7 @@
   return static_cast<int>(step) <= static_cast<int>(Step::kRecorded);
 }
 
-std::string Title(const WorldSettings& settings) {
+std::string Title(const PoolWorldSettings& settings) {
   std::string title = NameOf(settings.step) + (settings.on_load ? " (load)" : " (unload)") +
                       (settings.checks_fences ? ", fences checked:" : ", fences not checked:");
   for (const Fault fault : settings.faults) {
@@ -64,14 +64,14 @@
 }
 
 // True if the run met all guarantees.
-bool MeetsGuarantees(const WorldSettings& settings) {
-  const Findings findings = PoolWorld(settings).Run();
+bool MeetsGuarantees(const PoolWorldSettings& settings) {
+  const PoolWorldResult findings = PoolWorld(settings).Run();
   const bool passed = findings.overcommits == 0 && findings.converged && findings.step_reached &&
                       findings.longest_gap <= MaxServiceGap(settings.step, settings.faults);
   if (!passed) {
     MESSAGE(Title(settings), ": overcommits ", findings.overcommits, ", converged ",
             findings.converged, ", reached ", findings.step_reached, ", gap ",
-            findings.longest_gap.count(), " ms\n", findings.story);
+            findings.longest_gap.count(), " ms\n", findings.event_log);
   }
   return passed;
 }
@@ -85,7 +85,7 @@
           if (!load && !IsOrderStep(step)) {
             continue;
           }
-          WorldSettings settings;
+          PoolWorldSettings settings;
           settings.step = step;
           settings.on_load = load;
           settings.checks_fences = fences;
@@ -105,10 +105,10 @@
 
 TEST_CASE("without faults: new versions are loaded without service gaps or unnecessary moves") {
   for (const bool fences : {false, true}) {
-    WorldSettings settings;
+    PoolWorldSettings settings;
     settings.checks_fences = fences;
-    const Findings findings = PoolWorld(settings).Run();
-    INFO(findings.story);
+    const PoolWorldResult findings = PoolWorld(settings).Run();
+    INFO(findings.event_log);
     CHECK(findings.overcommits == 0);
     CHECK(findings.converged);
     CHECK(findings.longest_gap == Duration(0));
@@ -148,7 +148,7 @@
     for (const auto& [one, other] : pairs) {
       bool proved = true;
       for (const bool fences : {false, true}) {
-        WorldSettings settings;
+        PoolWorldSettings settings;
         settings.step = step;
         settings.checks_fences = fences;
         settings.faults = {one, other};
--- a/src/rudderloom/residency/pool_lease.cpp
+++ b/src/rudderloom/residency/pool_lease.cpp
@@ -14,14 +14,14 @@
 
 }  // namespace
 
-void PoolKeeper::Seen(const PoolRecord& record,
-                      const std::optional<StoreRevision>& version,
-                      PoolSight sight,
-                      TimePoint now) {
+void PoolKeeper::ApplyRead(const PoolRecord& record,
+                           const std::optional<StoreRevision>& version,
+                           PoolReadKind sight,
+                           TimePoint now) {
   reading_ = false;
   // An outdated watch must not undo a known write.
   const bool older = IsOlder(record);
-  if (older && sight == PoolSight::kWatched) {
+  if (older && sight == PoolReadKind::kWatched) {
     return;
   }
   const bool first = !version_;
@@ -81,7 +81,7 @@
   send_states_.clear();
 }
 
-void PoolKeeper::Written(const StoreRevision& version, TimePoint now) {
+void PoolKeeper::OnWriteSucceeded(const StoreRevision& version, TimePoint now) {
   if (!pending_write_) {
     return;
   }
@@ -109,7 +109,7 @@
   must_read_ = true;
 }
 
-std::uint64_t PoolKeeper::QuietEpoch() const {
+std::uint64_t PoolKeeper::OldestOrderEpoch() const {
   std::uint64_t quiet = stored_.epoch;
   for (const auto& [key, order] : orders_in_flight_) {
     quiet = std::min(quiet, order.epoch);
--- a/src/rudderloom/routes/caller.cpp
+++ b/src/rudderloom/routes/caller.cpp
@@ -10,9 +10,9 @@
   }
   const Customer* customer = key ? table.Customers().Find(*key) : nullptr;
   if (customer == nullptr) {
-    return {CallerStanding::kUnknown, nullptr};
+    return {CallerStatus::kUnknown, nullptr};
   }
-  return {CallerStanding::kCustomer, customer};
+  return {CallerStatus::kCustomer, customer};
 }
 
 std::uint32_t PriorityOf(const Caller& caller, const Route& route) {
--- a/src/rudderloom/routes/caller_test.cpp
+++ b/src/rudderloom/routes/caller_test.cpp
@@ -23,25 +23,25 @@
   Route public_route;
   public_route.is_public = true;
   CHECK(IdentifyCaller(table, route, DigestOf("k1")).customer->name == "a");
-  CHECK(IdentifyCaller(table, route, DigestOf("k2")).standing == CallerStanding::kUnknown);
-  CHECK(IdentifyCaller(table, route, std::nullopt).standing == CallerStanding::kUnknown);
-  CHECK(IdentifyCaller(table, public_route, std::nullopt).standing == CallerStanding::kAnybody);
+  CHECK(IdentifyCaller(table, route, DigestOf("k2")).standing == CallerStatus::kUnknown);
+  CHECK(IdentifyCaller(table, route, std::nullopt).standing == CallerStatus::kUnknown);
+  CHECK(IdentifyCaller(table, public_route, std::nullopt).standing == CallerStatus::kAnonymous);
   CHECK(IdentifyCaller(table, public_route, DigestOf("k1")).customer == nullptr);
-  CHECK(IdentifyCaller(keyless_table, route, DigestOf("k1")).standing == CallerStanding::kAnybody);
+  CHECK(IdentifyCaller(keyless_table, route, DigestOf("k1")).standing == CallerStatus::kAnonymous);
 }
 
 TEST_CASE("without customers, no key is accepted on a route that requires one") {
   const RouteTable table = MakeTable(true, {});
-  CHECK(IdentifyCaller(table, Route(), DigestOf("k1")).standing == CallerStanding::kUnknown);
+  CHECK(IdentifyCaller(table, Route(), DigestOf("k1")).standing == CallerStatus::kUnknown);
 }
 
 TEST_CASE("a customer's priority overrides its route's priority") {
   Customer customer = MakeCustomer("a", "k1");
   Route route;
   route.priority = 2;
-  CHECK(PriorityOf({CallerStanding::kCustomer, &customer}, route) == 2);
+  CHECK(PriorityOf({CallerStatus::kCustomer, &customer}, route) == 2);
   customer.priority = 0;
-  CHECK(PriorityOf({CallerStanding::kCustomer, &customer}, route) == 0);
+  CHECK(PriorityOf({CallerStatus::kCustomer, &customer}, route) == 0);
   CHECK(PriorityOf({}, route) == 2);
 }
 
--- a/src/rudderloom/routing/router.cpp
+++ b/src/rudderloom/routing/router.cpp
@@ -63,7 +63,7 @@
 
 bool Router::CanAccept(const Snapshot& snapshot,
                        std::uint32_t index,
-                       const RouteAsk& ask,
+                       const RouteQuery& ask,
                        TimePoint now) {
   const EndpointView& endpoint = snapshot.endpoints[index];
   Load& load = LoadOf(endpoint.id);
@@ -79,7 +79,7 @@
     return false;
   }
   const std::uint32_t total_in_flight = load.in_flight + endpoint.others_in_flight;
-  if (ask.fills) {
+  if (ask.is_background) {
     return total_in_flight < std::max(1.0, endpoint.slots * kBackgroundShare);
   }
   return total_in_flight < endpoint.slots * kBorrowShare ||
@@ -99,7 +99,7 @@
 
 std::optional<std::uint32_t> Router::Choose(const Snapshot& snapshot,
                                             const ServingSet& set,
-                                            const RouteAsk& ask,
+                                            const RouteQuery& ask,
                                             TimePoint now) {
   const auto count = static_cast<std::uint32_t>(set.endpoints.size());
   if (count == 0) {
@@ -134,11 +134,14 @@
   return std::nullopt;
 }
 
-void Router::Started(std::uint32_t id) {
+void Router::RequestStarted(std::uint32_t id) {
   ++LoadOf(id).in_flight;
 }
 
-void Router::Ended(std::uint32_t id, RouteResult result, Duration first_byte, TimePoint now) {
+void Router::RequestEnded(std::uint32_t id,
+                          RouteResult result,
+                          Duration first_byte,
+                          TimePoint now) {
   Load& load = LoadOf(id);
   load.in_flight -= std::min(1U, load.in_flight);
   if (result == RouteResult::kFailed) {
@@ -157,7 +160,7 @@
   }
 }
 
-std::uint32_t Router::Room(const Snapshot& snapshot, const ServingSet& set) const {
+std::uint32_t Router::AvailableShare(const Snapshot& snapshot, const ServingSet& set) const {
   std::uint32_t room = 0;
   for (const std::uint32_t index : set.endpoints) {
     const EndpointView& endpoint = snapshot.endpoints[index];
--- a/src/rudderloom/routing/router_test.cpp
+++ b/src/rudderloom/routing/router_test.cpp
@@ -36,15 +36,15 @@
 TEST_CASE("requests with a common prefix stay on one endpoint while it has free slots") {
   const Snapshot snapshot = MakeSnapshot(10, 8);
   Router router(1);
-  RouteAsk ask;
+  RouteQuery ask;
   ask.prefix = PrefixHash("m", "the same beginning");
   std::map<std::uint32_t, int> counts;
   for (int i = 0; i < 100; ++i) {
     const auto chosen = router.Choose(snapshot, snapshot.models.at("m"), ask, kStart);
     REQUIRE(chosen);
     ++counts[*chosen];
-    router.Started(*chosen);
-    router.Ended(*chosen, RouteResult::kServed, Duration(5), kStart);
+    router.RequestStarted(*chosen);
+    router.RequestEnded(*chosen, RouteResult::kServed, Duration(5), kStart);
   }
   CHECK(counts.size() == 1);
 }
@@ -55,7 +55,7 @@
   Router router(1);
   int started = 0;
   while (const auto chosen = router.Choose(snapshot, snapshot.models.at("m"), {}, kStart)) {
-    router.Started(*chosen);
+    router.RequestStarted(*chosen);
     ++started;
     REQUIRE(started < 100);
   }
@@ -66,7 +66,7 @@
   Router second(2);
   started = 0;
   while (const auto chosen = second.Choose(snapshot, snapshot.models.at("m"), {}, kStart)) {
-    second.Started(*chosen);
+    second.RequestStarted(*chosen);
     ++started;
   }
   // With eight nodes, a node borrows only up to three quarters of the slots, since other nodes'
@@ -77,11 +77,11 @@
 TEST_CASE("background requests leave capacity for urgent requests") {
   const Snapshot snapshot = MakeSnapshot(1, 8);
   Router router(1);
-  RouteAsk fills;
-  fills.fills = true;
+  RouteQuery fills;
+  fills.is_background = true;
   int started = 0;
   while (const auto chosen = router.Choose(snapshot, snapshot.models.at("m"), fills, kStart)) {
-    router.Started(*chosen);
+    router.RequestStarted(*chosen);
     ++started;
   }
   CHECK(started == 4);
@@ -93,12 +93,12 @@
   Router router(3);
   std::map<std::uint32_t, int> counts;
   for (std::uint64_t i = 0; i < 2'000; ++i) {
-    RouteAsk ask;
+    RouteQuery ask;
     ask.prefix = i;
     const auto chosen = router.Choose(snapshot, snapshot.models.at("m"), ask, kStart);
     REQUIRE(chosen);
-    router.Started(*chosen);
-    router.Ended(*chosen, RouteResult::kServed, Duration(*chosen == 2 ? 500 : 10), kStart);
+    router.RequestStarted(*chosen);
+    router.RequestEnded(*chosen, RouteResult::kServed, Duration(*chosen == 2 ? 500 : 10), kStart);
     ++counts[*chosen];
   }
   CHECK(counts[2] < 2'000 / 5 / 4);
@@ -110,15 +110,15 @@
   Router router(1);
   for (int i = 0; i < 3; ++i) {
     REQUIRE(router.Choose(snapshot, set, {}, kStart));
-    router.Started(0);
-    router.Ended(0, RouteResult::kFailed, Duration(0), kStart);
+    router.RequestStarted(0);
+    router.RequestEnded(0, RouteResult::kFailed, Duration(0), kStart);
   }
   CHECK_FALSE(router.Choose(snapshot, set, {}, kStart + Duration(100)));
   const TimePoint later = kStart + Duration(3'000);
   REQUIRE(router.Choose(snapshot, set, {}, later));
-  router.Started(0);
+  router.RequestStarted(0);
   CHECK_FALSE(router.Choose(snapshot, set, {}, later));
-  router.Ended(0, RouteResult::kServed, Duration(5), later);
+  router.RequestEnded(0, RouteResult::kServed, Duration(5), later);
   CHECK(router.Choose(snapshot, set, {}, later));
 }
 
