--- a/src/rudderloom/store/object_store.cpp
+++ b/src/rudderloom/store/object_store.cpp
@@ -214,11 +214,12 @@
         "&timeoutSeconds=" + std::to_string(watch_time_.count() / 1000);
     observer_("watch", kind, target.size());
     HttpRequest request = MakeRequest(http::verb::get, address_, target);
-    CallTimes times = times_;
+    CallTimeouts times = times_;
     // Bookmarks arrive every few seconds, so a watch that receives nothing for this long has
     // failed.
     times.between = watch_time_;
-    auto opened = co_await client_.Open(address_, std::move(request), times, Reuse::kNever);
+    auto opened =
+        co_await client_.Open(address_, std::move(request), times, ConnectionReuse::kNever);
     if (auto* failure = std::get_if<HttpFailure>(&opened)) {
       co_return StoreError{StoreError::Kind::kUnreachable, failure->message};
     }
@@ -252,11 +253,12 @@
     const std::string target = std::string(kApiRoot) + kind + suffix;
     const std::size_t sent = body.size();
     HttpRequest request = MakeRequest(method, address_, target, std::move(body));
-    const Reuse reuse = method == http::verb::get ? Reuse::kAllowed : Reuse::kNever;
+    const ConnectionReuse reuse =
+        method == http::verb::get ? ConnectionReuse::kAllowed : ConnectionReuse::kNever;
     auto answer = co_await client_.Call(address_, std::move(request), times_, reuse);
     if (auto* failure = std::get_if<HttpFailure>(&answer)) {
       observer_(verb, kind, sent);
-      const bool unknown = failure->may_have_left;
+      const bool unknown = failure->may_have_been_sent;
       co_return StoreError{unknown ? StoreError::Kind::kUnknown : StoreError::Kind::kUnreachable,
                            failure->message};
     }
@@ -275,7 +277,7 @@
 
   HttpClient client_;
   std::string address_;
-  CallTimes times_;
+  CallTimeouts times_;
   Duration watch_time_;
   CallObserver observer_;
 };
@@ -315,12 +317,12 @@
                                            std::move(observer));
 }
 
-Awaitable<std::variant<StoredObject, StoreError>> PutSettled(asio::io_context& context,
-                                                             ObjectStore& store,
-                                                             std::string kind,
-                                                             StoredObject object,
-                                                             std::string token,
-                                                             SettleTimes times) {
+Awaitable<std::variant<StoredObject, StoreError>> PutAndConfirm(asio::io_context& context,
+                                                                ObjectStore& store,
+                                                                std::string kind,
+                                                                StoredObject object,
+                                                                std::string token,
+                                                                ConfirmTimes times) {
   using Kind = StoreError::Kind;
   object.writers.insert(object.writers.begin(), token);
   if (object.writers.size() > kMaxWriters) {
--- a/src/rudderloom/store/call_tally.cpp
+++ b/src/rudderloom/store/store_call_log.cpp
@@ -1,4 +1,4 @@
-#include "rudderloom/store/call_tally.hpp"
+#include "rudderloom/store/store_call_log.hpp"
 
 #include "rudderloom/base/log_line.hpp"  // for LogLine
 
@@ -12,7 +12,7 @@
 
 }  // namespace
 
-void CallTally::Count(std::string_view verb, std::string_view kind, TimePoint now) {
+void StoreCallLog::Count(std::string_view verb, std::string_view kind, TimePoint now) {
   std::string call(verb);
   call.append("_").append(kind);
   ++calls_[call];
@@ -22,7 +22,7 @@
   }
 }
 
-void CallTally::Log() {
+void StoreCallLog::Log() {
   LogLine line("store_calls");
   for (const auto& [call, count] : calls_) {
     line.With(call, count);
--- a/src/rudderloom/store/store_follower.cpp
+++ b/src/rudderloom/store/store_follower.cpp
@@ -38,7 +38,7 @@
         }
       }
       must_probe_ = false;
-      if (options_.pace->list_every && Now() - listed_at_ >= *options_.pace->list_every) {
+      if (options_.pace->relist_interval && Now() - listed_at_ >= *options_.pace->relist_interval) {
         version_.reset();
       }
       const bool succeeded = !version_ ? co_await List() : co_await Watch();
@@ -92,8 +92,8 @@
     }
     options_.backoff.Reset();
     const Duration elapsed = Between(started, Now());
-    if (elapsed < options_.pace->least_between) {
-      co_await PauseFor(context_, options_.pace->least_between - elapsed);
+    if (elapsed < options_.pace->min_interval) {
+      co_await PauseFor(context_, options_.pace->min_interval - elapsed);
     }
     co_return true;
   }
--- a/src/rudderloom/store/store_follower_test.cpp
+++ b/src/rudderloom/store/store_follower_test.cpp
@@ -101,7 +101,7 @@
 
 TEST_CASE("a follower lists again after the configured interval") {
   FollowerFixture fixture;
-  fixture.pace->list_every = Duration(20);
+  fixture.pace->relist_interval = Duration(20);
   fixture.pace->watch_time = Duration(7);
   fixture.RunUntil([&] { return fixture.store.lists >= 4; });
   CHECK(fixture.store.watches >= 4);
--- a/src/standin/endpoint.cpp
+++ b/src/standin/endpoint.cpp
@@ -230,10 +230,10 @@
     }
     for (int i = 0; i < kWeightFetchAttempts; ++i) {
       HttpRequest request = MakeRequest(http::verb::get, options_.weight_store, "/weights/" + unit);
-      CallTimes times;
+      CallTimeouts times;
       times.first_byte = Duration(60'000);
       auto answer = co_await runtime_.client.Call(options_.weight_store, std::move(request), times,
-                                                  Reuse::kNever);
+                                                  ConnectionReuse::kNever);
       const auto* response = std::get_if<HttpResponse>(&answer);
       if (response != nullptr && response->result_int() == 200) {
         co_return true;
--- a/src/standin/standin.cpp
+++ b/src/standin/standin.cpp
@@ -84,8 +84,8 @@
   for (int i = 0; i < kRegisterAttempts; ++i) {
     HttpRequest request =
         MakeRequest(http::verb::put, options.platform, target, json::serialize(object));
-    auto answer = co_await runtime.client.Call(options.platform, std::move(request), CallTimes{},
-                                               Reuse::kNever);
+    auto answer = co_await runtime.client.Call(options.platform, std::move(request), CallTimeouts{},
+                                               ConnectionReuse::kNever);
     const auto* response = std::get_if<HttpResponse>(&answer);
     if (response != nullptr && response->result_int() < 300) {
       co_return;
--- a/tests/fakes/fleet_world.cpp
+++ b/tests/fakes/fleet_world.cpp
@@ -72,7 +72,7 @@
   node.limits = {};
   node.reporting = false;
   node.routes_version = 0;
-  const Followings followings = FollowingsAtStart(MakeSettings(node));
+  const Followings followings = InitialFollowings(MakeSettings(node));
   SetFollowing(node, node.endpoints, followings.endpoints);
   SetFollowing(node, node.configuration, followings.configuration);
 }
@@ -109,7 +109,7 @@
   store_snapshots_[now_] = store_;
 }
 
-void FleetWorld::WriteElsewhere(int writes) {
+void FleetWorld::WriteUnrelatedObjects(int writes) {
   store_.revision += static_cast<std::uint64_t>(writes);
   SnapshotStore();
 }
@@ -222,8 +222,8 @@
   }
   if (effects.statement) {
     node.statement = effects.statement;
-    node.holds_lease =
-        effects.statement->common.holds && effects.statement->common.holder == node.address;
+    node.holds_lease = effects.statement->common.is_authoritative &&
+                       effects.statement->common.holder == node.address;
   }
   if (effects.followings) {
     SetFollowing(node, node.endpoints, effects.followings->endpoints);
@@ -242,7 +242,7 @@
   }
   if (effects.report) {
     if (node.pending_report) {
-      AddUntold(node.pending_report->counts, effects.report->counts);
+      MergeUnreported(node.pending_report->counts, effects.report->counts);
     }
     node.pending_report = std::move(effects.report);
     SendReport(node);
@@ -259,7 +259,7 @@
   const StoreRevision version = store_.lease.Version();
   if (!ReachesStore(node)) {
     ScheduleOnNode(node, kStoreTimeoutMs,
-                   [this, &node] { HandleMessage(node, fleet_message::LeaseUnread{}); });
+                   [this, &node] { HandleMessage(node, fleet_message::LeaseReadFailed{}); });
     return;
   }
   ScheduleOnNode(node, kStoreLatencyMs, [this, &node, fresh, record, version] {
@@ -303,14 +303,15 @@
   if (to->statement) {
     digest = DigestFor(*to->statement, report.counts, TimeAt(*to));
   }
-  MakeOlder(digest, Duration(kPeerLatencyMs));
+  AddTransitTime(digest, Duration(kPeerLatencyMs));
   to->report_times.push_back(now_);
   ScheduleOnNode(*to, 0, [this, to, report] {
-    HandleMessage(*to, fleet_message::PeerCounted{report.counts});
+    HandleMessage(*to, fleet_message::PeerCountsReceived{report.counts});
   });
   ScheduleOnNode(node, kPeerLatencyMs, [this, &node, report, digest] {
     FinishReport(node);
-    HandleMessage(node, fleet_message::DigestHeard{digest, report.to, report.counts.report_number});
+    HandleMessage(node,
+                  fleet_message::DigestReceived{digest, report.to, report.counts.report_number});
   });
 }
 
@@ -319,20 +320,20 @@
   SendReport(node);
 }
 
-void FleetWorld::SetFollowing(Node&, Subscription& subscription, Following mode) {
+void FleetWorld::SetFollowing(Node&, Subscription& subscription, FollowMode mode) {
   if (subscription.mode == mode) {
     return;
   }
   // A watch continues as another kind of watch; after a pause it starts with a list.
   const bool was_watching =
-      subscription.mode == Following::kStore || subscription.mode == Following::kForOthers;
-  subscription.needs_probe = subscription.needs_probe || subscription.mode == Following::kHolder;
+      subscription.mode == FollowMode::kStore || subscription.mode == FollowMode::kStoreForOthers;
+  subscription.needs_probe = subscription.needs_probe || subscription.mode == FollowMode::kHolder;
   subscription.mode = mode;
-  subscription.listed = subscription.listed && was_watching && mode != Following::kHolder;
+  subscription.listed = subscription.listed && was_watching && mode != FollowMode::kHolder;
 }
 
 void FleetWorld::AdvanceSubscription(Node& node, Subscription& subscription, bool configuration) {
-  if (subscription.mode == Following::kHolder || subscription.call_in_flight) {
+  if (subscription.mode == FollowMode::kHolder || subscription.call_in_flight) {
     return;
   }
   if (subscription.needs_probe) {
@@ -343,12 +344,12 @@
     AnswerStoreCall(node, subscription, configuration, true);
     return;
   }
-  if (subscription.mode == Following::kStoreOnce) {
+  if (subscription.mode == FollowMode::kStoreOnce) {
     return;
   }
   const bool changed = store_.revision > subscription.seen_revision;
   const bool due =
-      subscription.mode == Following::kForOthers && now_ >= subscription.next_answer_at;
+      subscription.mode == FollowMode::kStoreForOthers && now_ >= subscription.next_answer_at;
   if (changed || due || !ReachesStore(node)) {
     AnswerStoreCall(node, subscription, configuration, false);
   }
--- a/tests/fakes/fleet_world.hpp
+++ b/tests/fakes/fleet_world.hpp
@@ -57,7 +57,7 @@
   void RestoreStore(int age, int replay_delay_ms);
   /// @brief Simulates unrelated writes, which use up revisions but concern no object that nodes
   /// follow.
-  void WriteElsewhere(int writes);
+  void WriteUnrelatedObjects(int writes);
 
   // Changes by the operator.
   void Configure(std::uint64_t version);
@@ -68,7 +68,7 @@
   void Spend(int node, const std::string& customer, std::int64_t amount);
   /// @brief Returns the balance of the customer that the node last received, nullopt before the
   /// first.
-  std::optional<std::int64_t> LevelAt(int node, const std::string& customer) const;
+  std::optional<std::int64_t> BalanceAt(int node, const std::string& customer) const;
   /// @brief Reports crash news from the traffic of the node: requests under which endpoints
   /// crashed, or which endpoints answered.
   void See(int node, const CrashNews& news);
@@ -78,17 +78,17 @@
   void Observe(int node, const SentLimits& limits);
   /// @brief Returns the latest view of the node, null before the first.
   const FleetViewPtr& ViewOf(int node) const { return NodeAt(node).view; }
-  const std::shared_ptr<const Statement>& StatementOf(int node) const {
+  const std::shared_ptr<const DigestSource>& StatementOf(int node) const {
     return NodeAt(node).statement;
   }
   /// @brief Returns the node that `from` reaches at `address` now, nullopt if none responds.
-  std::optional<int> Answering(int from, const std::string& address) const;
+  std::optional<int> ReachableNodeAt(int from, const std::string& address) const;
   bool Runs(int node) const { return Alive(node) && !Suspended(NodeAt(node)); }
   /// @brief Returns the number of the current process of the node.
   int GenerationOf(int node) const { return NodeAt(node).generation; }
   /// @brief Returns the basis on which the node grants requests of other nodes, null if it grants
   /// none.
-  std::shared_ptr<const GrantBasis> GrantsOf(int node) const;
+  std::shared_ptr<const GrantBasis> GrantBasisOf(int node) const;
   TimePoint Time() const { return TimePoint(std::chrono::hours(1)) + Duration(now_); }
 
   /// @brief Returns the first node that considers itself the lease holder, nullopt if there is
@@ -109,7 +109,7 @@
   const StoreCalls& Calls() const { return calls_; }
   int Now() const { return now_; }
   /// @brief Returns how often the configuration of a node regressed within one process.
-  int WentBack() const { return configuration_regressions_; }
+  int ConfigurationRegressions() const { return configuration_regressions_; }
 
  private:
   // The contents of the store.
@@ -122,7 +122,7 @@
 
   // How a node follows one kind of object of the store.
   struct Subscription {
-    Following mode = Following::kHolder;
+    FollowMode mode = FollowMode::kHolder;
     bool listed = false;       // since it last started to call the store
     bool needs_probe = false;  // whether to probe the store before listing
     std::uint64_t seen_revision = 0;
@@ -137,7 +137,7 @@
     double share = 1.0;
     std::unique_ptr<FleetState> state;
     int generation = 0;  // number of its current process
-    std::shared_ptr<const Statement> statement;
+    std::shared_ptr<const DigestSource> statement;
     FleetViewPtr view;
     Subscription endpoints;
     Subscription configuration;
@@ -171,7 +171,7 @@
   void WriteLease(Node& node, const LeaseWrite& write);
   void SendReport(Node& node);
   void FinishReport(Node& node);
-  void SetFollowing(Node& node, Subscription& subscription, Following mode);
+  void SetFollowing(Node& node, Subscription& subscription, FollowMode mode);
   void AdvanceSubscription(Node& node, Subscription& subscription, bool configuration);
   void AnswerStoreCall(Node& node, Subscription& subscription, bool configuration, bool list);
   // Checks with a stale read whether the store responds.
--- a/tests/fakes/fleet_world_views.cpp
+++ b/tests/fakes/fleet_world_views.cpp
@@ -18,7 +18,7 @@
   spending.nodes = 1;
 }
 
-std::optional<std::int64_t> FleetWorld::LevelAt(int node, const std::string& customer) const {
+std::optional<std::int64_t> FleetWorld::BalanceAt(int node, const std::string& customer) const {
   const FleetViewPtr& view = NodeAt(node).view;
   if (!view || !view->quota) {
     return std::nullopt;
@@ -29,7 +29,7 @@
 
 // Traffic requests a sample soon after crash news.
 void FleetWorld::See(int node, const CrashNews& news) {
-  AddNews(news, NodeAt(node).crash_news);
+  MergeNews(news, NodeAt(node).crash_news);
   ScheduleOnNode(NodeAt(node), kSampleDelayMs, [this, node] { Sample(NodeAt(node)); });
 }
 
@@ -40,7 +40,7 @@
   ScheduleOnNode(NodeAt(node), kSampleDelayMs, [this, node] { Sample(NodeAt(node)); });
 }
 
-std::optional<int> FleetWorld::Answering(int from, const std::string& address) const {
+std::optional<int> FleetWorld::ReachableNodeAt(int from, const std::string& address) const {
   for (int i = 0; i < Nodes(); ++i) {
     const bool cut = i != from && (NodeAt(i).cut_from_nodes || NodeAt(from).cut_from_nodes);
     if (NodeAt(i).address == address && Runs(i) && !cut) {
@@ -55,7 +55,7 @@
   return view && view->quarantine && view->quarantine->quarantined.contains(request);
 }
 
-std::shared_ptr<const GrantBasis> FleetWorld::GrantsOf(int node) const {
+std::shared_ptr<const GrantBasis> FleetWorld::GrantBasisOf(int node) const {
   const auto& statement = NodeAt(node).statement;
   return statement ? statement->grants : nullptr;
 }
--- a/tests/fakes/lease_object.hpp
+++ b/tests/fakes/lease_object.hpp
@@ -28,10 +28,10 @@
 
 /// @brief Runs one step of a keeper whose calls all succeed.
 inline void Step(LeaseKeeper& keeper, LeaseObject& store, TimePoint now) {
-  keeper.Seen(store.record, store.Version(), true, now);
+  keeper.ApplyRead(store.record, store.Version(), true, now);
   if (auto write = keeper.NextWrite(now)) {
     if (store.Put(*write)) {
-      keeper.Written(store.Version(), now);
+      keeper.OnWriteSucceeded(store.Version(), now);
     } else {
       keeper.WriteFailed();
     }
--- a/tests/fakes/limited_traffic.cpp
+++ b/tests/fakes/limited_traffic.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>  // for count_if, max
 
-#include "rudderloom/base/spread.hpp"  // for SpreadOf
+#include "rudderloom/base/stable_fraction.hpp"  // for StableFraction
 
 namespace rudderloom::fakes {
 
@@ -41,7 +41,7 @@
   Sender& sender = senders_[static_cast<std::size_t>(node)];
   if (sender.generation != world_.GenerationOf(node)) {
     sender = Sender();
-    sender.watch = LimitWatch(SpreadOf(std::to_string(node)));
+    sender.watch = LimitWatch(StableFraction(std::to_string(node)));
     sender.generation = world_.GenerationOf(node);
     sender.started_at = world_.Now();
   }
@@ -74,26 +74,26 @@
   Sender& sender = SenderOf(node);
   const FleetView& view = *world_.ViewOf(node);
   sender.watch.Received(view.limits);
-  switch (sender.watch.StandingOf(kEndpoint, view.live_nodes, world_.Time())) {
-    case LimitStanding::kUnlimited:
+  switch (sender.watch.LimitStateOf(kEndpoint, view.live_nodes, world_.Time())) {
+    case LimitState::kUnlimited:
       SendRequest(node, sender.generation, world_.Now() + kNetworkDelayMs);
       return;
-    case LimitStanding::kRefused:
+    case LimitState::kRefused:
       return;
-    case LimitStanding::kLimited:
-    case LimitStanding::kUnobserved:
+    case LimitState::kLimited:
+    case LimitState::kUnobserved:
       break;
   }
   const PermitAnswer answer = RequestPermit(node, view);
   if (answer.verdict == PermitVerdict::kGranted) {
-    sender.watch.Asked(kEndpoint);
+    sender.watch.GranterAnswered(kEndpoint);
     const int wait = static_cast<int>(answer.wait.count());
     SendRequest(node, sender.generation, world_.Now() + kNetworkDelayMs + wait);
   } else {
     const bool refused = answer.verdict == PermitVerdict::kRefused;
     if (refused) {
-      sender.watch.Asked(kEndpoint);
-    } else if (sender.watch.MaySendUnasked(kEndpoint, view.live_nodes, world_.Time())) {
+      sender.watch.GranterAnswered(kEndpoint);
+    } else if (sender.watch.MaySendWithoutPermit(kEndpoint, view.live_nodes, world_.Time())) {
       SendRequest(node, sender.generation, world_.Now() + kNetworkDelayMs);
       return;
     }
@@ -104,13 +104,13 @@
 
 PermitAnswer LimitedTraffic::RequestPermit(int node, const FleetView& view) {
   const bool by_holder = world_.Time() < view.holder_permits_until;
-  const auto granter = world_.Answering(node, by_holder ? view.quota_holder : view.deputy);
+  const auto granter = world_.ReachableNodeAt(node, by_holder ? view.quota_holder : view.deputy);
   const double limit = *SenderOf(node).watch.LimitOf(kEndpoint);
   if (!granter || !world_.StatementOf(*granter) || !world_.StatementOf(*granter)->permits) {
     return {};
   }
   const PermitBasis basis = *world_.StatementOf(*granter)->permits;
-  return SenderOf(*granter).permits.Ask({kEndpoint, limit, kMostPermitWait}, basis, world_.Time());
+  return SenderOf(*granter).permits.Ask({kEndpoint, limit, kMaxPermitWait}, basis, world_.Time());
 }
 
 void LimitedTraffic::SendRequest(int node, int generation, int time) {
@@ -143,7 +143,7 @@
   sender.watch.Answered(kEndpoint, announcement, sent, world_.Time());
   const EndpointLimits observed = sender.watch.Take();
   if (!observed.empty()) {
-    world_.Observe(node, WithAges(observed, world_.Time()));
+    world_.Observe(node, ToSentLimits(observed, world_.Time()));
   }
 }
 
@@ -169,7 +169,7 @@
       [&](const Arrival& arrival) { return arrival.time > world_.Now() - milliseconds; }));
 }
 
-int LimitedTraffic::NodesThatLimit() const {
+int LimitedTraffic::NodesApplyingLimit() const {
   int count = 0;
   for (int i = 0; i < world_.Nodes(); ++i) {
     const FleetViewPtr& view = world_.ViewOf(i);
--- a/tests/fakes/limited_traffic.hpp
+++ b/tests/fakes/limited_traffic.hpp
@@ -29,7 +29,7 @@
   /// @brief Returns how many requests arrived within the last `milliseconds`.
   int Arrived(int milliseconds) const;
   /// @brief Returns how many nodes treat the endpoint as limited.
-  int NodesThatLimit() const;
+  int NodesApplyingLimit() const;
 
  private:
   struct Sender {
--- a/tests/fakes/pool_world.cpp
+++ b/tests/fakes/pool_world.cpp
@@ -57,7 +57,7 @@
         deferred;  // callbacks that came due while the node was frozen
   };
 
-  explicit Impl(WorldSettings initial_settings)
+  explicit Impl(PoolWorldSettings initial_settings)
       : settings(std::move(initial_settings)), random(settings.seed) {
     residency.late_order_bound = Duration(40'000);
     residency.loads_per_second = 10.0;
@@ -209,7 +209,7 @@
       }
       // The node ticks once before it receives anything new, so it may act on stale state.
       Execute(node, node.keeper->Tick(ViewFor(node), now));
-      node.reported_quiet_epoch = node.keeper->QuietEpoch();
+      node.reported_quiet_epoch = node.keeper->OldestOrderEpoch();
     }
     ScheduleAfter(kTickInterval, [this, &node] { TickNode(node); });
   }
@@ -224,7 +224,7 @@
       const StoreRevision seen_version = CurrentVersion();
       ScheduleAfter(delay, [this, &node, seen, seen_version] {
         OnNode(node, [this, &node, seen, seen_version] {
-          node.keeper->Seen(seen, seen_version, PoolSight::kWatched, now);
+          node.keeper->ApplyRead(seen, seen_version, PoolReadKind::kWatched, now);
         });
       });
     }
@@ -272,7 +272,7 @@
       wanted.memory = kUnitMemory;
       view.wanted.push_back(std::move(wanted));
     }
-    view.quiet = [this, &self](const std::string& incarnation, std::uint64_t epoch) {
+    view.is_silent = [this, &self](const std::string& incarnation, std::uint64_t epoch) {
       for (const auto& node : nodes) {
         if (node->incarnation != incarnation) {
           continue;
@@ -335,7 +335,7 @@
           if (lost) {
             node.keeper->WriteFailed(now);
           } else {
-            node.keeper->Written(written, now);
+            node.keeper->OnWriteSucceeded(written, now);
           }
         });
       });
@@ -389,7 +389,7 @@
           if (failed) {
             node.keeper->ReadFailed();
           } else {
-            node.keeper->Seen(read, read_version, PoolSight::kRead, now);
+            node.keeper->ApplyRead(read, read_version, PoolReadKind::kRead, now);
           }
         });
       });
@@ -563,10 +563,10 @@
   }
 
   void Log(const std::string& message) {
-    findings.story += std::to_string(Between(TimePoint(), now).count()) + " " + message + "\n";
+    findings.event_log += std::to_string(Between(TimePoint(), now).count()) + " " + message + "\n";
   }
 
-  WorldSettings settings;
+  PoolWorldSettings settings;
   ResidencySettings residency;
   std::mt19937_64 random;
   TimePoint now{std::chrono::hours(1)};
@@ -584,14 +584,15 @@
   std::uint64_t version = 0;
   std::map<TimePoint, std::pair<PoolRecord, std::uint64_t>> snapshots;  // by creation time
   std::map<std::string, TimePoint> served_at;
-  Findings findings;
+  PoolWorldResult findings;
 };
 
-PoolWorld::PoolWorld(WorldSettings settings) : impl_(std::make_unique<Impl>(std::move(settings))) {}
+PoolWorld::PoolWorld(PoolWorldSettings settings)
+    : impl_(std::make_unique<Impl>(std::move(settings))) {}
 
 PoolWorld::~PoolWorld() = default;
 
-Findings PoolWorld::Run() {
+PoolWorldResult PoolWorld::Run() {
   Impl& world = *impl_;
   const TimePoint start = world.now;
   world.begin_faults = start + Duration(30'000);
--- a/tests/fakes/pool_world.hpp
+++ b/tests/fakes/pool_world.hpp
@@ -55,7 +55,7 @@
 std::string NameOf(Step step);
 std::string NameOf(Fault fault);
 
-struct WorldSettings {
+struct PoolWorldSettings {
   bool checks_fences = false;
   Step step = Step::kSent;
   bool on_load = true;  // whether the step belongs to a load order or to an unload order
@@ -65,23 +65,23 @@
 
 /// @brief Faulty outcomes and measurements of one run. The tests require the counts of faulty
 /// outcomes to be zero.
-struct Findings {
+struct PoolWorldResult {
   int overcommits = 0;
   int lost_last_copies = 0;  // a name was no longer served although no endpoint was lost
   Duration longest_gap{0};   // longest time for which a name was not served
   bool converged = false;    // whether every declared unit is served at the end
   bool step_reached = false;
   int moves = 0;
-  std::string story;  // event log for the messages of failed checks
+  std::string event_log;  // event log for the messages of failed checks
 };
 
 class PoolWorld {
  public:
-  explicit PoolWorld(WorldSettings settings);
+  explicit PoolWorld(PoolWorldSettings settings);
   ~PoolWorld();
 
   /// @brief Runs for several virtual minutes: loads models, then declares new versions of them.
-  Findings Run();
+  PoolWorldResult Run();
 
  private:
   struct Impl;
--- a/tests/process/cluster.cpp
+++ b/tests/process/cluster.cpp
@@ -229,14 +229,15 @@
     request.set(name, value);
   }
   Response response;
-  CallTimes timeouts;
+  CallTimeouts timeouts;
   timeouts.first_byte = Duration(30'000);
   timeouts.between = Duration(30'000);
   bool done = false;
   asio::co_spawn(
       context_,
       [&]() -> Awaitable<void> {
-        auto result = co_await client_.Call(address, std::move(request), timeouts, Reuse::kNever);
+        auto result =
+            co_await client_.Call(address, std::move(request), timeouts, ConnectionReuse::kNever);
         if (const auto* received = std::get_if<HttpResponse>(&result)) {
           response.status = received->result_int();
           response.body = received->body();
--- a/tests/process/fleet_cluster.cpp
+++ b/tests/process/fleet_cluster.cpp
@@ -131,10 +131,11 @@
     request.set("Token-Count", "10,40");
     request.set("Prompt-Prefix", "ab:6,cd:4");
   }
-  CallTimes timeouts;
+  CallTimeouts timeouts;
   timeouts.first_byte = Duration(10'000);
   timeouts.between = Duration(10'000);
-  auto result = co_await Client().Call(address, std::move(request), timeouts, Reuse::kNever);
+  auto result =
+      co_await Client().Call(address, std::move(request), timeouts, ConnectionReuse::kNever);
   if (const auto* received = std::get_if<HttpResponse>(&result)) {
     response.status = received->result_int();
     response.body = received->body();
