--- a/tools/bench.sh
+++ b/tools/bench.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# The decisions against baselines on a virtual clock, and what one decision costs.
-# Prints tables and writes build/bench.json; exit status 0 only within bench/bounds.json.
+# Benchmarks the placement decisions against baselines on a virtual clock, and the cost of a
+# decision. Prints tables and writes build/bench.json; exit status 0 only within the bounds of
+# bench/bounds.json.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install.sh
--- a/tools/bounds.py
+++ b/tools/bounds.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Compares build/bench.json and build/cost.json with bench/bounds.json: counts and same-run ratios.
+"""Checks build/bench.json and build/cost.json against bench/bounds.json: counts and same-run ratios.
 
-With --counts only the counts, which are the same in every run of one seed.
+With --counts checks only the counts, which are deterministic for a given seed.
 """
 import json
 import pathlib
@@ -11,34 +11,34 @@
 def main():
     bounds = json.loads(pathlib.Path("bench/bounds.json").read_text())
     bench = json.loads(pathlib.Path("build/bench.json").read_text())
-    broken = counts(bounds, bench)
+    violations = check_counts(bounds, bench)
     if "--counts" not in sys.argv:
-        broken += ratios(bounds)
-    print("\n".join(broken) or "within the bounds")
-    return 1 if broken else 0
+        violations += check_ratios(bounds)
+    print("\n".join(violations) or "within the bounds")
+    return 1 if violations else 0
 
 
-def counts(bounds, bench):
-    broken = []
+def check_counts(bounds, bench):
+    violations = []
     for name, bound in bounds["scenarios"].items():
         ours = bench[name]["ours"]
         if ours["of_bound"] < bound["of_bound"]:
-            broken.append(f"{name}: {ours['of_bound']:.3f} of the bound, at least {bound['of_bound']}")
+            violations.append(f"{name}: {ours['of_bound']:.3f} of the bound, at least {bound['of_bound']}")
         if ours["moves"] > bound["moves"]:
-            broken.append(f"{name}: {ours['moves']} moves, at most {bound['moves']}")
-    return broken
+            violations.append(f"{name}: {ours['moves']} moves, at most {bound['moves']}")
+    return violations
 
 
-def ratios(bounds):
+def check_ratios(bounds):
     measured = json.loads(pathlib.Path("build/cost.json").read_text())["benchmarks"]
     cost = {each["name"]: each["cpu_time"] for each in measured}
-    broken = []
+    violations = []
     for ratio in bounds["cost_ratios"]:
         value = cost[ratio["of"]] / cost[ratio["to"]]
         if value > ratio["most"]:
-            broken.append(f"{ratio['of']} costs {value:.2f} times {ratio['to']}, "
+            violations.append(f"{ratio['of']} costs {value:.2f} times {ratio['to']}, "
                           f"at most {ratio['most']}")
-    return broken
+    return violations
 
 
 if __name__ == "__main__":
--- a/tools/cluster.py
+++ b/tools/cluster.py
@@ -1,4 +1,4 @@
-"""Starts the stand-ins and entry nodes as plain processes on loopback, for the demo and the soak."""
+"""Runs stand-ins and entry nodes as separate processes on loopback, for the demo and the soak test."""
 import json
 import os
 import pathlib
@@ -9,18 +9,18 @@
 
 ROOT = pathlib.Path(__file__).resolve().parent.parent
 READY_SECONDS = 20
-SERVED_SECONDS = 40
+RESIDENT_TIMEOUT_SECONDS = 40
 
 
 class Process:
-    """One program with its log; `address` is what it printed when it was ready."""
+    """A running program and its log file; `address` is what it printed once it was ready."""
 
     def __init__(self, name, command, folder):
         self.name = name
         self.command = command
         self.log = open(folder / f"{name}.log", "ab")
         self.child = subprocess.Popen(command, stdout=subprocess.PIPE, stderr=self.log)
-        self.words = self._read_ready()
+        self.ready_fields = self._read_ready()
 
     def _read_ready(self):
         line = self.child.stdout.readline().decode()
@@ -30,11 +30,11 @@
 
     @property
     def address(self):
-        return self.words[0].split("=")[-1]
+        return self.ready_fields[0].split("=")[-1]
 
     @property
     def peers(self):
-        return self.words[1].split("=")[-1]
+        return self.ready_fields[1].split("=")[-1]
 
     def signal(self, number):
         if self.child.poll() is None:
@@ -45,7 +45,7 @@
         self.child.wait()
 
     def stop(self, seconds=40):
-        """A planned stop; gives the exit status."""
+        """Stops the process with SIGTERM and returns its exit status."""
         self.signal(signal.SIGCONT)
         self.signal(signal.SIGTERM)
         return self.child.wait(timeout=seconds)
@@ -76,63 +76,63 @@
                                             "--loads-per-second", str(per_second)])
 
     def start_endpoint(self, name, pool, zone="zone-a", memory="48GiB", slots=16, token_ms=5,
-                       fences=False, port=0):
+                       checks_fencing=False, port=0):
         command = [self.standin, "endpoint", "--name", name, "--pool", pool, "--zone", zone,
                    "--memory", memory, "--slots", str(slots), "--token-ms", str(token_ms),
                    "--port", str(port), "--platform", self.processes["platform"].address,
                    "--weight-store", self.processes["weight-store"].address]
-        return self._start(name, command + (["--checks-fences"] if fences else []))
+        return self._start(name, command + (["--checks-fences"] if checks_fencing else []))
 
     def start_service(self, name, service, zone="zone-a", slots=32):
         return self._start(name, [self.standin, "service", "--name", name, "--service", service,
                                   "--pool", service, "--zone", zone, "--slots", str(slots),
                                   "--platform", self.processes["platform"].address])
 
-    def start_node(self, name, zone="zone-a", changes=None):
+    def start_node(self, name, zone="zone-a", overrides=None):
         settings = {"node": {"name": name, "availability_zone": zone},
                     "platform": {"address": self.processes["platform"].address}}
-        for key, value in (changes or {}).items():
+        for key, value in (overrides or {}).items():
             settings[key] = {**settings.get(key, {}), **value} if isinstance(value, dict) else value
         path = self.folder / f"{name}.json"
         path.write_text(json.dumps(settings))
         return self._start(name, [self.daemon, "daemon", "--settings", str(path)])
 
-    def command(self, *words, check=True):
-        """Runs one operators' command; gives what it printed."""
-        done = subprocess.run([self.daemon, *words], capture_output=True, text=True, check=False,
+    def command(self, *arguments, check=True):
+        """Runs one operator command and returns its standard output."""
+        result = subprocess.run([self.daemon, *arguments], capture_output=True, text=True, check=False,
                               timeout=60)
-        if check and done.returncode != 0:
-            raise RuntimeError(f"{words}: status {done.returncode}: {done.stdout}{done.stderr}")
-        return done.stdout
+        if check and result.returncode != 0:
+            raise RuntimeError(f"{arguments}: status {result.returncode}: {result.stdout}{result.stderr}")
+        return result.stdout
 
     def status(self, node):
         return json.loads(self.command("status", "--daemon", node.peers, "--output", "json"))
 
-    def wait_served(self, node, seconds=SERVED_SECONDS):
-        """Waits until every declared model and adapter is resident somewhere."""
+    def wait_until_resident(self, node, seconds=RESIDENT_TIMEOUT_SECONDS):
+        """Waits until every declared model and adapter is resident on some endpoint."""
         deadline = time.monotonic() + seconds
         while True:
             configuration = json.loads(self.command("get", "--daemon", node.peers))
-            wanted = {f"{item['name']}@{item['version']}"
-                      for each in configuration["sets"].values()
-                      for item in each.get("models", []) + each.get("adapters", [])}
+            declared_units = {f"{item['name']}@{item['version']}"
+                              for declared in configuration["sets"].values()
+                              for item in declared.get("models", []) + declared.get("adapters", [])}
             resident = {unit["unit"] for endpoint in self.status(node)["endpoints"]
                         for unit in endpoint["units"] if unit["state"] == "resident"}
-            if wanted and wanted <= resident:
+            if declared_units and declared_units <= resident:
                 return
             if time.monotonic() > deadline:
-                raise RuntimeError(f"not resident after {seconds} s: {wanted - resident}")
+                raise RuntimeError(f"not resident after {seconds} s: {declared_units - resident}")
             time.sleep(0.1)
 
-    def load(self, scenario, name="load", all_whole=False):
-        """Starts the load tool; its table comes on standard output."""
+    def start_load(self, scenario, name="load", all_whole=False):
+        """Starts the load tool, which prints its table to standard output."""
         path = self.folder / f"{name}.scenario.json"
         path.write_text(json.dumps(scenario))
         command = [self.load_tool, str(path), "--json", str(self.folder / f"{name}.report.json")]
         return subprocess.Popen(command + (["--all-whole"] if all_whole else []),
                                 stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True)
 
-    def report(self, name="load"):
+    def load_report(self, name="load"):
         return json.loads((self.folder / f"{name}.report.json").read_text())
 
     def stop_all(self):
@@ -141,13 +141,13 @@
             process.kill()
 
 
-def fetch(address, path, body=None, timeout=5):
-    """GETs, or POSTs when there is a body; gives the JSON."""
+def fetch_json(address, path, body=None, timeout=5):
+    """Sends a GET, or a POST if there is a body, and returns the JSON of the response."""
     data = None if body is None else json.dumps(body).encode()
     with urllib.request.urlopen(f"http://{address}{path}", data=data, timeout=timeout) as answer:
         return json.loads(answer.read())
 
 
-def switch_faults(process, **faults):
-    """Switches faults of a stand-in."""
-    fetch(process.address, "/faults", faults)
+def set_faults(process, **faults):
+    """Sets faults of a stand-in; 0 turns a fault off."""
+    fetch_json(process.address, "/faults", faults)
--- a/tools/demo.sh
+++ b/tools/demo.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Installs, builds and runs the whole path on loopback, first on the users' platform, then on our own
-# interface; exit status 0 only if every answer was whole.
-# --keep leaves it running and prints the addresses.
+# Installs, builds and runs the end-to-end demos on loopback, first on the users' platform, then on
+# the native interface; exit status 0 only if every answer was complete.
+# --keep leaves the second one running and prints the addresses.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install.sh
@@ -10,5 +10,5 @@
 cmake --build build | tail -n 1
 echo "== on the users' platform"
 python3 tools/fleet_demo.py
-echo "== on our own interface"
+echo "== on the native interface"
 exec python3 tools/demo.py "$@"
--- a/tools/earlier_build.sh
+++ b/tools/earlier_build.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Builds the program of the landing before this one from the repository's history, into the user's
-# cache folder. For tests of two builds side by side, as during an upgrade. Prints its path.
+# Builds the daemon of an earlier commit into the user's cache folder and prints its path. For tests
+# of two builds running side by side, as during an upgrade.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 commit=${1:-109c69d}
@@ -8,7 +8,7 @@
 program=$tree/build/src/rudderloom/app/rudderloom
 if [ ! -x "$program" ]; then
   if ! git cat-file -e "$commit^{commit}" 2>/dev/null; then
-    echo "commit $commit is not in this repository's history: clone it whole" >&2
+    echo "commit $commit is not in this repository's history: make a full clone" >&2
     exit 1
   fi
   mkdir -p "$tree"
--- a/tools/fault_matrix.py
+++ b/tools/fault_matrix.py
@@ -1,8 +1,8 @@
 #!/usr/bin/env python3
-"""Makes docs/FAULTS.md from the cells that the tests note while they run.
+"""Generates docs/FAULTS.md from the cells (step and fault) that the tests record while they run.
 
 usage: tools/fault_matrix.py BUILD_DIRECTORY [--check]
-With --check nothing is written; exit status 1 when the page differs from what the tests prove.
+With --check writes nothing and exits with status 1 when the page differs from the recorded cells.
 """
 import collections
 import os
@@ -40,14 +40,14 @@
 def run_tests(build):
     with tempfile.NamedTemporaryFile(suffix=".cells") as file:
         environment = {**os.environ, "RUDDERLOOM_CELLS": file.name}
-        done = subprocess.run(["ctest", "--test-dir", build, "-j", str(os.cpu_count())],
+        result = subprocess.run(["ctest", "--test-dir", build, "-j", str(os.cpu_count())],
                               env=environment, capture_output=True, text=True, check=False)
-        if done.returncode != 0:
-            sys.exit("tests fail, so no matrix is made:\n" + done.stdout[-1500:])
+        if result.returncode != 0:
+            sys.exit("tests failed, no matrix was generated:\n" + result.stdout[-1500:])
         return [line.split("\t") for line in pathlib.Path(file.name).read_text().splitlines()]
 
 
-def page(cells):
+def render_page(cells):
     singles, pairs = collections.OrderedDict(), collections.OrderedDict()
     tests = []
     for step, fault, test in sorted(set(map(tuple, cells))):
@@ -56,19 +56,19 @@
         target = pairs if " + " in fault else singles
         target.setdefault((step, fault), test)
     tests.sort()
-    number = {test: f"T{i}" for i, test in enumerate(tests, 1)}
+    label = {test: f"T{i}" for i, test in enumerate(tests, 1)}
     lines = [HEAD, f"Single faults: {len(singles)} of {len(STEPS) * len(FAULTS)} cells proved; the "
              f"rest is *not proved*. Pairs: {len(pairs)} proved.\n"]
     lines.append("\n## Tests\n")
-    lines += [f"- {number[test]}: {test}" for test in tests]
+    lines += [f"- {label[test]}: {test}" for test in tests]
     lines.append("\n## Single faults\n")
     lines.append("| step | " + " | ".join(FAULTS) + " |")
     lines.append("|---" * (len(FAULTS) + 1) + "|")
     for step in STEPS:
-        row = [number.get(singles.get((step, fault), ""), "") for fault in FAULTS]
+        row = [label.get(singles.get((step, fault), ""), "") for fault in FAULTS]
         lines.append(f"| {step} | " + " | ".join(row) + " |")
     lines.append("\n## Pairs\n")
-    lines += [f"- {step}: {fault} ({number[test]})" for (step, fault), test in pairs.items()]
+    lines += [f"- {step}: {fault} ({label[test]})" for (step, fault), test in pairs.items()]
     unknown = {key for key in singles if key[0] not in STEPS or key[1] not in FAULTS}
     if unknown:
         sys.exit(f"cells outside the matrix: {sorted(unknown)}")
@@ -77,7 +77,7 @@
 
 def main():
     build = sys.argv[1] if len(sys.argv) > 1 else "build"
-    text = page(run_tests(build))
+    text = render_page(run_tests(build))
     path = pathlib.Path("docs/FAULTS.md")
     if "--check" in sys.argv:
         if not path.exists() or path.read_text() != text:
--- a/tools/fleet.py
+++ b/tools/fleet.py
@@ -1,4 +1,4 @@
-"""The users' platform in small with entry nodes before it, as plain processes on loopback."""
+"""A small instance of the users' platform with entry nodes in front, as processes on loopback."""
 import http.client
 import json
 import random
@@ -10,10 +10,10 @@
 from cluster import Process
 from loopback_proxy import LoopbackProxy
 
-NODES, ENGINES, DESKS = 3, 4, 3
+NODES, ENGINES, SERVICES = 3, 4, 3
 MODELS = ("m", "n", "o", "p")
 EVENTS = 8
-# Customers and their callers' keys. No key may be seen beyond the entry nodes.
+# API key by customer. Entry nodes must not forward keys to endpoints.
 CUSTOMERS = {"member-a": "key-a-9d41c07be2a3", "member-b": "key-b-5f68e1b40c77"}
 UNKNOWN_KEY = "key-x-000000000000"
 STOP_SECONDS = 8
@@ -27,25 +27,25 @@
         return answer.read().decode()
 
 
-def whole_stream(request_id, model):
+def expected_stream(request_id, model):
     return "".join(f"id: {i}\ndata: {request_id} {model} {i}\n\n" for i in range(1, EVENTS + 1))
 
 
 class Fleet:
-    """The processes and their proxies."""
+    """Store, endpoints and entry nodes, with the proxies in between."""
 
     def __init__(self, folder, build):
         self.folder = folder
         self.daemon = str(build / "src/rudderloom/app/rudderloom")
-        self.daemons = {}    # node: the program that it runs, where it isn't our own
-        self.next_daemon = self.daemon
+        self.daemons = {}    # node -> its daemon, where it is not that of the tested build
+        self.replacement_daemon = self.daemon
         self.standin = str(build / "platform/rudderloom_platform_standin")
         self.processes = {}
         self.proxies = {}
-        self.runs = {}      # request id: times it ran, on processes that are gone
-        self.instances = {}  # name: what the endpoint is listed under
-        self.instance_of = {}  # name of an endpoint's process: the same
-        self.leaked = 0      # requests that reached an endpoint with a caller's key
+        self.runs = {}      # request id -> number of executions on processes that have ended
+        self.instances = {}  # endpoint name -> instance id in the store
+        self.instance_of = {}  # process name of an endpoint -> instance id
+        self.leaked_keys = 0      # requests that reached an endpoint with a caller's API key
         self.starts = 0
         self.version = 0
         self.start("store", [self.standin, "store"])
@@ -56,24 +56,24 @@
         self.processes[name] = process
         return process
 
-    def start_endpoint(self, name, service, more, instance=None):
+    def start_endpoint(self, name, service, extra_arguments, instance=None):
         proxy = LoopbackProxy()
         instance = instance or f"{name}-{self.starts}"
         self.instances[name] = instance
         process = self.start(name, [self.standin, "engine" if service == "pool" else "service",
                                     "--store", self.processes["store"].address, "--instance",
                                     instance, "--service", service, "--advertise", proxy.address,
-                                    "--crash-body", CRASH_BODY, *more])
+                                    "--crash-body", CRASH_BODY, *extra_arguments])
         proxy.target = process.address
         self.proxies[name] = proxy
         self.instance_of[process.name] = instance
 
     def start_engine(self, name, instance=None):
-        """A new engine, or with `instance` one that starts again under its name."""
+        """Starts a new engine, or restarts one under its previous instance id `instance`."""
         models = ",".join(random.Random(name).sample(MODELS, 2))
         self.start_endpoint(name, "pool", ["--models", models, "--memory-mb", "300"], instance)
 
-    def start_desk(self, name, instance=None):
+    def start_service(self, name, instance=None):
         self.start_endpoint(name, "desk", ["--slots", "16"], instance)
 
     def start_node(self, name):
@@ -93,8 +93,8 @@
         path.write_text(json.dumps(settings))
         self.start(name, [self.daemons.get(name, self.daemon), "daemon", "--settings", str(path)])
 
-    def configure(self, newest=None):
-        """A new version; `newest` is the prefix of a route that no earlier one has."""
+    def write_configuration(self, extra_prefix=None):
+        """Writes the next version; `extra_prefix` adds a route that no earlier version has."""
         self.version += 1
         route = {"host": "h.example", "timeout-ms": 5000, "latency-goal-ms": 500, "priority": 1,
                  "max-attempts": 2, "is-sticky": False, "target-gap-ms": 400}
@@ -102,8 +102,8 @@
                  "/safe/": ("safe", "desk")}
         if self.version > 1:
             kinds["/added/"] = ("safe", "desk")
-        if newest:
-            kinds[newest] = ("safe", "desk")
+        if extra_prefix:
+            kinds[extra_prefix] = ("safe", "desk")
         routes = [{**route, "name": "r" + prefix, "path-prefix": prefix, "route-kind": kind,
                    "service": service, "resumable": kind == "stream"}
                   for prefix, (kind, service) in kinds.items()]
@@ -124,21 +124,21 @@
         else:
             call(store, "/objects/config/main", body, "PUT")
 
-    def callers(self, node):
-        """Where a node takes requests."""
-        return self.processes[node].words[0].split("=")[1]
+    def caller_address(self, node):
+        """Returns the address where a node accepts requests."""
+        return self.processes[node].ready_fields[0].split("=")[1]
 
     def stop_all(self):
         for process in self.processes.values():
             process.kill()
 
     def count_runs(self, name):
-        """What an endpoint has run, before it is killed."""
+        """Adds the executions counted by an endpoint; call it before killing the endpoint."""
         try:
             stats = json.loads(call(self.processes[name].address, "/stats"))
         except (OSError, urllib.error.URLError, ValueError):
             return
-        self.leaked += stats["leaked"]
+        self.leaked_keys += stats["leaked"]
         for request_id, count in stats["runs"].items():
             self.runs[request_id] = self.runs.get(request_id, 0) + count
 
@@ -150,16 +150,16 @@
 
 
 def start_fleet(folder, build, daemon=None):
-    """A fleet with everything running; its nodes run `daemon`, or our own."""
+    """Starts a complete fleet, whose nodes run `daemon` or else the tested build."""
     fleet = Fleet(folder, build)
     if daemon:
         fleet.daemons = {f"n{i}": daemon for i in range(NODES)}
     try:
-        fleet.configure()
+        fleet.write_configuration()
         for i in range(ENGINES):
             fleet.start_engine(f"e{i}")
-        for i in range(DESKS):
-            fleet.start_desk(f"d{i}")
+        for i in range(SERVICES):
+            fleet.start_service(f"d{i}")
         for i in range(NODES):
             fleet.start_node(f"n{i}")
     except Exception:
@@ -168,8 +168,8 @@
     return fleet
 
 
-def one_request(address, kind, model, request_id, key=CUSTOMERS["member-a"], body="body"):
-    """One request on a connection of its own; gives its status and body, 0 for none."""
+def send_request(address, kind, model, request_id, key=CUSTOMERS["member-a"], body="body"):
+    """Sends one request on a new connection. Returns status and body; status 0 means no answer."""
     headers = {"Host": "h.example", "Request-Id": request_id, "Deadline-Ms": "3000",
                "Authorization": f"Token {key}"}
     if model:
@@ -185,7 +185,7 @@
 
 
 class Client(threading.Thread):
-    """One client that keeps its connection until the node is gone or closes it."""
+    """A client that reuses its connection until the node closes it or it fails."""
 
     def __init__(self, fleet, number, seed):
         super().__init__(daemon=True)
@@ -200,16 +200,16 @@
     def run(self):
         count = 0
         while not self.stopping.wait(self.random.uniform(0.1, 0.35)):
-            self.one(f"c{self.number}-{count}")
+            self.send(f"c{self.number}-{count}")
             count += 1
 
     def connect(self):
         self.node = f"n{self.random.randrange(NODES)}"
         self.process = self.fleet.processes[self.node]
-        host, port = self.fleet.callers(self.node).split(":")
+        host, port = self.fleet.caller_address(self.node).split(":")
         self.connection = http.client.HTTPConnection(host, int(port), timeout=12)
 
-    def one(self, request_id):
+    def send(self, request_id):
         kind = self.random.choice(["once", "safe", "stream", "stream", "added"])
         headers = {"Host": "h.example", "Request-Id": request_id, "Deadline-Ms": "5000",
                    "Authorization": f"Token {self.random.choice(list(CUSTOMERS.values()))}"}
@@ -222,25 +222,25 @@
         try:
             if self.connection is None:
                 self.connect()
-            result.update(node=self.node, life=self.process.name)
-            result["at"] = time.monotonic()
+            result.update(node=self.node, process=self.process.name)
+            result["started"] = time.monotonic()
             self.connection.request("POST", f"/{kind}/x", body=b"body", headers=headers)
             answer = self.connection.getresponse()
             result["status"] = answer.status
             if answer.getheader("Server-Limit"):
-                result["limited"] = answer.getheader("Server-Stamp").rsplit(".", 1)[0]
+                result["limited_instance"] = answer.getheader("Server-Stamp").rsplit(".", 1)[0]
             result["body"] = answer.read().decode()
             result["whole"] = True
             if answer.getheader("Connection", "").lower() == "close":
-                self.forget()
+                self.disconnect()
         except (OSError, http.client.HTTPException) as error:
             result["error"] = repr(error)
-            self.forget()
+            self.disconnect()
         result["ended"] = time.monotonic()
         result["ended_wall"] = time.time()
         self.results.append(result)
 
-    def forget(self):
+    def disconnect(self):
         if self.connection is not None:
             self.connection.close()
         self.connection = None
--- a/tools/fleet_demo.py
+++ b/tools/fleet_demo.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""The path on the users' platform: three entry nodes, engines and plain services, and failures.
+"""End-to-end demo on the users' platform: three entry nodes, engines and services, with failures.
 
-usage: tools/fleet_demo.py      exit status 0 only when every answer was whole
+usage: tools/fleet_demo.py      exit status 0 only when every answer was complete
 """
 import json
 import pathlib
@@ -10,52 +10,52 @@
 import time
 
 from cluster import ROOT
-from fleet import MODELS, NODES, one_request, start_fleet, whole_stream
+from fleet import MODELS, NODES, send_request, start_fleet, expected_stream
 
-READY_SECONDS = 20
+READY_TIMEOUT_SECONDS = 20
 
 
-def ask_everything(fleet, nodes, title):
-    """One request of each kind at each node; gives how many were not whole."""
-    wrong = asked = 0
+def send_all_kinds(fleet, nodes, title):
+    """Sends one request of each kind to each node and returns how many answers were wrong."""
+    wrong = sent = 0
     for node in nodes:
         for kind, model in [("once", ""), ("safe", "")] + [("stream", m + "/a1") for m in MODELS]:
             request_id = f"{title.replace(' ', '-')}-{node}-{kind}-{model.replace('/', '-')}"
-            status, body = one_request(fleet.callers(node), kind, model, request_id)
-            wanted = (whole_stream(request_id, model) if model
-                      else json.dumps({"id": request_id}, separators=(",", ":")))
-            asked += 1
-            if status != 200 or body != wanted:
+            status, body = send_request(fleet.caller_address(node), kind, model, request_id)
+            expected = (expected_stream(request_id, model) if model
+                        else json.dumps({"id": request_id}, separators=(",", ":")))
+            sent += 1
+            if status != 200 or body != expected:
                 wrong += 1
                 print(f"  {request_id}: status {status}")
-    print(f"{title}: {asked - wrong} of {asked} answers whole")
+    print(f"{title}: {sent - wrong} of {sent} answers complete")
     return wrong
 
 
-def await_ready(fleet, nodes):
-    until = time.monotonic() + READY_SECONDS
+def wait_until_ready(fleet, nodes):
+    deadline = time.monotonic() + READY_TIMEOUT_SECONDS
     for node in nodes:
-        while one_request(fleet.callers(node), "stream", "m", f"ready-{node}")[0] != 200:
-            if time.monotonic() > until:
+        while send_request(fleet.caller_address(node), "stream", "m", f"ready-{node}")[0] != 200:
+            if time.monotonic() > deadline:
                 raise RuntimeError(f"{node} does not serve")
             time.sleep(0.1)
 
 
 def run(fleet):
     nodes = [f"n{i}" for i in range(NODES)]
-    await_ready(fleet, nodes)
-    wrong = ask_everything(fleet, nodes, "all well")
+    wait_until_ready(fleet, nodes)
+    wrong = send_all_kinds(fleet, nodes, "all nodes running")
     fleet.processes["n0"].kill()
-    wrong += ask_everything(fleet, nodes[1:], "a node killed")
-    old = fleet.processes["d0"]
-    old.signal(15)
-    wrong += ask_everything(fleet, nodes[1:], "a service draining")
-    fleet.configure()
+    wrong += send_all_kinds(fleet, nodes[1:], "one node killed")
+    draining = fleet.processes["d0"]
+    draining.signal(15)
+    wrong += send_all_kinds(fleet, nodes[1:], "one service draining")
+    fleet.write_configuration()
     fleet.start_node("n0")
-    await_ready(fleet, ["n0"])
-    wrong += ask_everything(fleet, nodes, "the node back")
+    wait_until_ready(fleet, ["n0"])
+    wrong += send_all_kinds(fleet, nodes, "node restarted")
     statuses = [fleet.processes[node].stop() for node in nodes]
-    print("planned stops ended with status", *statuses)
+    print("graceful stops ended with exit status", *statuses)
     return wrong + sum(status != 0 for status in statuses)
 
 
--- a/tools/fleet_soak.py
+++ b/tools/fleet_soak.py
@@ -1,14 +1,14 @@
 #!/usr/bin/env python3
-"""Entry nodes on the users' platform under random faults; checks the promises of our pages.
+"""Soak test: entry nodes on the users' platform under random faults, checked against the guarantees.
 
-Real programs as separate processes. Every node reaches the store, and everybody each endpoint,
-through a loopback proxy that delays, resets, silences, cuts one way or lets open connections fall
-silent for good; processes are killed, frozen, drained, stopped and reloaded by signals. The stand-ins lose answers, cut streams and carry orders
-out late. Clients keep their connections until the process is gone.
+Runs the real programs as separate processes. Every node reaches the store, and every process an
+endpoint, through a loopback proxy that delays, resets, stalls or half-blocks connections. Processes
+are killed, frozen, drained, stopped and reloaded by signals. The stand-ins lose answers, cut streams
+and apply orders late. Clients reuse their connections until the process is gone.
 
 usage: tools/fleet_soak.py [--seconds 20] [--seed 1] [--folder DIRECTORY]
-           [--other-daemon PROGRAM [--back]]   two builds side by side
-Exit status 0 when no promise was broken; the folder with all logs is kept otherwise.
+           [--other-daemon PROGRAM [--back]]   two builds at once, as during an upgrade
+Exit status 0 when no guarantee was violated; otherwise the folder with all logs is kept.
 """
 import argparse
 import concurrent.futures
@@ -25,103 +25,105 @@
 import urllib.error
 
 from cluster import ROOT
-from fleet import (CRASH_BODY, DESKS, ENGINES, MODELS, NODES, STOP_SECONDS, UNKNOWN_KEY, Client, call,
-                   one_request, start_fleet, whole_stream)
+from fleet import (CRASH_BODY, SERVICES, ENGINES, MODELS, NODES, STOP_SECONDS, UNKNOWN_KEY, Client, call,
+                   send_request, start_fleet, expected_stream)
 
 CLIENTS = 12
-FAULT_EVERY = (0.2, 1.2)
-RESTORE_EVERY = (2, 9)
-LIMIT_EVERY = (2, 6)
+FAULT_INTERVAL = (0.2, 1.2)
+RESTORE_INTERVAL = (2, 9)
+LIMIT_INTERVAL = (2, 6)
 LIMIT_SECONDS = (5, 10)
-LIMITS = (300, 1000, 3000, 10000)  # requests in a thousand seconds, over all nodes
-# What an endpoint with a limit bears in any window from nodes that have passed its announcement on half a
-# second before, and whose machines were undisturbed for as long as a node may take to be in touch again.
+LIMITS = (300, 1000, 3000, 10000)  # requests per 1000 s, over all nodes
+# Bound on the requests that an endpoint with a limit gets in any window. Counts only requests from
+# nodes that had forwarded its announcement at least LIMIT_FORWARD_SECONDS before and had no fault
+# within SETTLE_SECONDS, which is how long a node may take to reconnect.
 LIMIT_WINDOW = 4.0
 LIMIT_TOLERANCE = 1.5
-LIMIT_EXTRA = 5
-LIMIT_PASSED_ON = 0.5
-IN_TOUCH_SECONDS = 3.0
-# Of the nodes that are replaced.
-KILLED_SHARE = 0.4
+LIMIT_BURST = 5
+LIMIT_FORWARD_SECONDS = 0.5
+SETTLE_SECONDS = 3.0
+# Share of the replaced nodes that are killed instead of stopped.
+FORCED_SHARE = 0.4
 RECOVERY_SECONDS = 20
-# The bound of the nodes' settings is 3 s; a call on a silent connection costs half a second more.
-IN_FORCE_SECONDS = 5
-# A request that was under way when its node was killed, as the client's clock sees it.
-KILL_SLACK = 0.3
-# A request that ends the endpoints that run it: how often it comes, when all nodes must know that three
-# have ended, and how often nodes in touch may send it on after that.
-CRASH_EVERY = 0.25
-CRASH_KNOWN_SECONDS = 3
-CRASH_MOST_LATER = 3
-CRASH_BACK_SECONDS = 1.0
-
-
-class Chaos:
-    """Draws one fault after the other from its seed; they overlap."""
+# The nodes' settings allow 3 s; a call on a stalled connection takes half a second more.
+APPLY_SECONDS = 5
+# A request may end this much before the kill, by the client's clock, and still count as interrupted
+# by it.
+KILL_CLOCK_SLACK = 0.3
+# A request that crashes the endpoints that run it: interval between two of them, time until all
+# nodes must know of three crashes, and how often settled nodes may still forward it after that.
+CRASH_INTERVAL = 0.25
+CRASH_DETECTION_SECONDS = 3
+CRASH_MAX_FORWARDED = 3
+CRASH_RESTART_SECONDS = 1.0
+
+
+class FaultInjector:
+    """Injects random faults drawn from a seed; faults may overlap."""
 
     def __init__(self, fleet, seed):
         self.fleet = fleet
         self.random = random.Random(seed)
-        # Drawn apart, so that a seed's other faults stay what they were.
-        self.restores = random.Random(f"{seed}-restores")
+        # A generator of its own, so that the other faults of a seed stay the same.
+        self.restore_random = random.Random(f"{seed}-restores")
         self.restoring = True
-        self.next_restore = time.monotonic() + self.restores.uniform(*RESTORE_EVERY)
-        self.limits = random.Random(f"{seed}-limits")
+        self.next_restore = time.monotonic() + self.restore_random.uniform(*RESTORE_INTERVAL)
+        self.limit_random = random.Random(f"{seed}-limits")
         self.limiting = True
-        self.next_limit = time.monotonic() + self.limits.uniform(*LIMIT_EVERY)
-        self.limited = {}      # process that has a limit: its value
-        self.limit_runs = []   # what processes with limits got: limit and arrivals
-        self.disturbances = []  # node, since when, until when; by the wall clock
-        self.later = []
+        self.next_limit = time.monotonic() + self.limit_random.uniform(*LIMIT_INTERVAL)
+        self.limited = {}      # process name -> its current limit
+        self.limit_arrivals = []   # (process name, limit, arrivals) of ended limits
+        self.node_faults = []  # (node, start, end) in wall-clock time
+        self.scheduled = []
         self.counts = {}
-        self.killed = {}     # life of a process: when
+        self.killed = {}     # process name -> time of the kill
         self.problems = []
         self.stops = []
-        self.odd = 0
-        self.disturbed = {}  # node: until when; None: all of them
+        self.malformed_entries = 0
+        self.faulty_until = {}  # node -> end of its last fault; None: all nodes
 
-    def at(self, seconds, what):
-        self.later.append((time.monotonic() + seconds, what))
+    def schedule(self, seconds, action):
+        self.scheduled.append((time.monotonic() + seconds, action))
 
-    def due(self, everything=False):
+    def run_due(self, everything=False):
         now = time.monotonic()
-        ready = [what for moment, what in self.later if everything or moment <= now]
-        self.later = [] if everything else [(m, w) for m, w in self.later if m > now]
-        for what in ready:
-            what()
+        ready = [action for moment, action in self.scheduled if everything or moment <= now]
+        self.scheduled = [] if everything else [(m, w) for m, w in self.scheduled if m > now]
+        for action in ready:
+            action()
         if self.restoring and not everything and now >= self.next_restore:
-            self.next_restore = now + self.restores.uniform(*RESTORE_EVERY)
+            self.next_restore = now + self.restore_random.uniform(*RESTORE_INTERVAL)
             self.restore_store()
         if self.limiting and not everything and now >= self.next_limit:
-            self.next_limit = now + self.limits.uniform(*LIMIT_EVERY)
+            self.next_limit = now + self.limit_random.uniform(*LIMIT_INTERVAL)
             self.limit_endpoint()
 
-    def strike(self):
+    def inject_fault(self):
         faults = ["kill_node", "freeze_node", "stop_node", "reload_node", "kill_engine",
-                  "drain_endpoint", "freeze_endpoint", "stand_in", "store_fault", "cut_store",
-                  "cut_endpoint", "reset_endpoint", "hush_store", "hush_endpoint", "configure",
-                  "reborn_engine", "odd_entry"]
+                  "drain_endpoint", "freeze_endpoint", "endpoint_fault", "store_fault", "cut_store",
+                  "cut_endpoint", "reset_endpoint", "stall_store", "stall_endpoint", "configure",
+                  "restart_engine", "malformed_entry"]
         name = self.random.choice(faults)
         self.counts[name] = self.counts.get(name, 0) + 1
         self.fleet.log.write(f"{time.time():.3f} {name}\n")
         getattr(self, name)()
 
-    def disturb(self, node, seconds=0.0):
-        """Something happens to a node, or for None to what all of them share, for so long."""
+    def record_fault(self, node, seconds=0.0):
+        """Records a fault of a node, or for None of the store they share, that lasts for `seconds`."""
         until = time.monotonic() + seconds
-        self.disturbances.append((node, time.time(), time.time() + seconds))
-        self.disturbed[node] = max(until, self.disturbed.get(node, 0.0))
+        self.node_faults.append((node, time.time(), time.time() + seconds))
+        self.faulty_until[node] = max(until, self.faulty_until.get(node, 0.0))
 
-    def in_touch(self, node):
-        """Nothing has happened to it for as long as it may take to know."""
-        last = max(self.disturbed.get(node, 0.0), self.disturbed.get(None, 0.0))
-        return time.monotonic() - last > CRASH_KNOWN_SECONDS
+    def is_settled(self, node):
+        """True when the node had no fault for as long as it may take to learn of crashes."""
+        last = max(self.faulty_until.get(node, 0.0), self.faulty_until.get(None, 0.0))
+        return time.monotonic() - last > CRASH_DETECTION_SECONDS
 
     def pick(self, letter, count):
         return f"{letter}{self.random.randrange(count)}"
 
     def endpoint(self):
-        return self.pick(*self.random.choice([("e", ENGINES), ("d", DESKS)]))
+        return self.pick(*self.random.choice([("e", ENGINES), ("d", SERVICES)]))
 
     def kill(self, name):
         process = self.fleet.processes[name]
@@ -130,18 +132,18 @@
 
     def kill_node(self):
         name = self.pick("n", NODES)
-        self.disturb(name)
+        self.record_fault(name)
         self.kill(name)
         self.fleet.start_node(name)
 
     def freeze(self, name, seconds):
         process = self.fleet.processes[name]
         process.signal(signal.SIGSTOP)
-        self.at(seconds, lambda: process.signal(signal.SIGCONT))
+        self.schedule(seconds, lambda: process.signal(signal.SIGCONT))
 
     def freeze_node(self):
         name, seconds = self.pick("n", NODES), self.random.uniform(0.5, 3)
-        self.disturb(name, seconds)
+        self.record_fault(name, seconds)
         self.freeze(name, seconds)
 
     def freeze_endpoint(self):
@@ -149,21 +151,21 @@
 
     def stop_node(self):
         name = self.pick("n", NODES)
-        self.disturb(name)
+        self.record_fault(name)
         process = self.fleet.processes[name]
         process.signal(signal.SIGCONT)
         process.signal(signal.SIGTERM)
         self.stops.append((process, time.monotonic()))
         self.fleet.start_node(name)
 
-    def replace_node(self, name, by_force):
-        """From now on the node runs the other build."""
-        self.fleet.daemons[name] = self.fleet.next_daemon
-        self.fleet.log.write(f"{time.time():.3f} replace {name} by_force={by_force}\n")
+    def replace_node(self, name, forced):
+        """Replaces the node by one that runs the other build."""
+        self.fleet.daemons[name] = self.fleet.replacement_daemon
+        self.fleet.log.write(f"{time.time():.3f} replace {name} forced={forced}\n")
         self.counts["replace"] = self.counts.get("replace", 0) + 1
-        self.disturb(name)
+        self.record_fault(name)
         process = self.fleet.processes[name]
-        if by_force:
+        if forced:
             self.kill(name)
         else:
             process.signal(signal.SIGCONT)
@@ -178,16 +180,16 @@
         if name[0] == "e":
             self.fleet.start_engine(name, instance)
         else:
-            self.fleet.start_desk(name, instance)
+            self.fleet.start_service(name, instance)
 
-    def start_ended(self):
-        """Endpoints that a request has ended start again under their name, a while later."""
-        for name in [f"e{i}" for i in range(ENGINES)] + [f"d{i}" for i in range(DESKS)]:
+    def restart_crashed(self):
+        """Schedules a restart, under the same instance id, of endpoints that a request crashed."""
+        for name in [f"e{i}" for i in range(ENGINES)] + [f"d{i}" for i in range(SERVICES)]:
             process = self.fleet.processes[name]
             if process.child.poll() is not None and process.name not in self.killed:
                 self.killed[process.name] = time.monotonic()
                 self.fleet.proxies[name].close()
-                self.at(CRASH_BACK_SECONDS,
+                self.schedule(CRASH_RESTART_SECONDS,
                         lambda name=name: self.restart(name, self.fleet.instances[name]))
 
     def kill_engine(self):
@@ -197,23 +199,23 @@
         self.fleet.proxies[name].close()
         self.restart(name)
 
-    def reborn_engine(self):
-        """Starts again under its name; its entry may not have gone meanwhile."""
+    def restart_engine(self):
+        """Restarts an engine under the same instance id, possibly before its entry in the store is gone."""
         name = self.pick("e", ENGINES)
         self.fleet.count_runs(name)
         self.kill(name)
         self.fleet.proxies[name].close()
         self.fleet.start_engine(name, self.fleet.instances[name])
 
-    def odd_entry(self):
-        """Another writer leaves something in the list of endpoints."""
-        self.odd += 1
+    def malformed_entry(self):
+        """Adds a malformed entry to the list of endpoints, as another writer might."""
+        self.malformed_entries += 1
         good = {"service": "pool", "address": "127.0.0.1:1", "zone": "zone-a", "version": "v1",
                 "slots": 8, "state": "ready", "cold-left-ms": 0, "sequence": 0, "models": []}
-        odd = self.random.choice([{}, 7, "bytes \ud800", {**good, "slots": -1},
+        spec = self.random.choice([{}, 7, "bytes \ud800", {**good, "slots": -1},
                                   {**good, "state": "asleep"}, {**good, "sequence": 0.5},
                                   {**good, "address": None}, {**good, "models": {"m": 1}}])
-        body = {"metadata": {"name": f"odd &?#{self.odd}"}, "spec": odd}
+        body = {"metadata": {"name": f"odd &?#{self.malformed_entries}"}, "spec": spec}
         try:
             call(self.fleet.processes["store"].address, "/objects/servers", body, "POST")
         except (OSError, urllib.error.URLError):
@@ -228,7 +230,7 @@
         process.signal(signal.SIGTERM)
         self.restart(name)
 
-    def switch(self, name, seconds, **faults):
+    def set_temporary_faults(self, name, seconds, **faults):
         process = self.fleet.processes[name]
 
         def put(values):
@@ -237,48 +239,49 @@
             except (OSError, urllib.error.URLError):
                 pass
         put(faults)
-        self.at(seconds, lambda: put({key: 0 for key in faults}))
+        self.schedule(seconds, lambda: put({key: 0 for key in faults}))
 
-    def stand_in(self):
+    def endpoint_fault(self):
         engine = self.pick("e", ENGINES)
-        desk = self.pick("d", DESKS)
+        desk = self.pick("d", SERVICES)
         self.random.choice([
-            lambda: self.switch(engine, 3, late_orders=2),
-            lambda: self.switch(engine, 3, cut_streams=3),
-            lambda: self.switch(desk, 3, lose_answers=3),
-            lambda: self.switch(desk, 3, shed=4)])()
+            lambda: self.set_temporary_faults(engine, 3, late_orders=2),
+            lambda: self.set_temporary_faults(engine, 3, cut_streams=3),
+            lambda: self.set_temporary_faults(desk, 3, lose_answers=3),
+            lambda: self.set_temporary_faults(desk, 3, shed=4)])()
 
     def store_fault(self):
         faults = self.random.choice([{"down": 1}, {"delay_ms": 200}, {"lose_answers": 3},
                                      {"forget_history": 1}])
         seconds = self.random.uniform(0.5, 4)
-        self.disturb(None, seconds)
-        self.switch("store", seconds, **faults)
+        self.record_fault(None, seconds)
+        self.set_temporary_faults("store", seconds, **faults)
 
     def restore_store(self):
-        """The store is away for a moment and comes back as it was some seconds before."""
-        age, away = self.restores.uniform(0.1, 8), self.restores.uniform(0, 1.5)
+        """Takes the store down for a moment and restores it to its state of some seconds earlier."""
+        age, downtime = self.restore_random.uniform(0.1, 8), self.restore_random.uniform(0, 1.5)
         self.counts["restore_store"] = self.counts.get("restore_store", 0) + 1
-        self.fleet.log.write(f"{time.time():.3f} restore_store {age:.1f} {away:.1f}\n")
-        self.disturb(None, away + 2)
-        if away > 0.3:
-            self.switch("store", away, down=1)
+        self.fleet.log.write(f"{time.time():.3f} restore_store {age:.1f} {downtime:.1f}\n")
+        self.record_fault(None, downtime + 2)
+        if downtime > 0.3:
+            self.set_temporary_faults("store", downtime, down=1)
 
         def restore():
             try:
                 call(self.fleet.processes["store"].address, "/faults",
-                     {"restore_ms": int(1000 * (age + away))})
+                     {"restore_ms": int(1000 * (age + downtime))})
             except (OSError, urllib.error.URLError):
                 pass
-        self.at(max(0, away - 0.1), restore)
+        self.schedule(max(0, downtime - 0.1), restore)
 
     def limit_endpoint(self):
-        """An endpoint announces a limit for a while."""
-        name = self.limits.choice([f"e{i}" for i in range(ENGINES)] + [f"d{i}" for i in range(DESKS)])
+        """Makes an endpoint announce a request limit for some seconds."""
+        name = self.limit_random.choice([f"e{i}" for i in range(ENGINES)] +
+                                        [f"d{i}" for i in range(SERVICES)])
         process = self.fleet.processes[name]
         if process.name in self.limited:
             return
-        limit = self.limits.choice(LIMITS)
+        limit = self.limit_random.choice(LIMITS)
         self.counts["limit_endpoint"] = self.counts.get("limit_endpoint", 0) + 1
         self.fleet.log.write(f"{time.time():.3f} limit_endpoint {process.name} {limit}\n")
         self.limited[process.name] = limit
@@ -287,7 +290,7 @@
             try:
                 if not value:
                     stats = json.loads(call(process.address, "/stats"))
-                    self.limit_runs.append((process.name, limit, stats["limited_arrivals"]))
+                    self.limit_arrivals.append((process.name, limit, stats["limited_arrivals"]))
                 call(process.address, "/faults", {"limit": value})
             except (OSError, ValueError):
                 pass
@@ -296,25 +299,25 @@
             announce(0)
             self.limited.pop(process.name, None)
         announce(limit)
-        self.at(self.limits.uniform(*LIMIT_SECONDS), end)
+        self.schedule(self.limit_random.uniform(*LIMIT_SECONDS), end)
 
-    def was_in_touch(self, node, moment):
-        """Nothing had happened to the node itself for as long as that counts."""
-        return not any(name == node and since <= moment and moment - until < IN_TOUCH_SECONDS
-                       for name, since, until in self.disturbances)
+    def was_settled(self, node, moment):
+        """True when the node itself had no fault within SETTLE_SECONDS before `moment`."""
+        return not any(name == node and start <= moment and moment - end < SETTLE_SECONDS
+                       for name, start, end in self.node_faults)
 
     def cut(self, name, seconds):
         proxy = self.fleet.proxies[name]
         proxy.delay = self.random.uniform(0.02, 0.2)
         proxy.mode = self.random.choice(["delay", "silent", "one_way"])
 
-        def heal():
+        def restore_proxy():
             proxy.mode = "pass"
-        self.at(seconds, heal)
+        self.schedule(seconds, restore_proxy)
 
     def cut_store(self):
         name, seconds = self.pick("n", NODES), self.random.uniform(0.5, 4)
-        self.disturb(name, seconds)
+        self.record_fault(name, seconds)
         self.cut(name, seconds)
 
     def cut_endpoint(self):
@@ -323,25 +326,25 @@
     def reset_endpoint(self):
         self.fleet.proxies[self.endpoint()].reset_all()
 
-    def hush_store(self):
+    def stall_store(self):
         name = self.pick("n", NODES)
-        self.disturb(name)
-        self.fleet.proxies[name].hush_open()
+        self.record_fault(name)
+        self.fleet.proxies[name].stall_open()
 
-    def hush_endpoint(self):
-        self.fleet.proxies[self.endpoint()].hush_open()
+    def stall_endpoint(self):
+        self.fleet.proxies[self.endpoint()].stall_open()
 
     def configure(self):
         try:
-            self.fleet.configure()
+            self.fleet.write_configuration()
         except (OSError, urllib.error.URLError):
             self.fleet.version -= 1
 
     def check_stops(self):
         for process, asked_at in self.stops:
-            left = max(0.1, asked_at + STOP_SECONDS + 2 - time.monotonic())
+            remaining = max(0.1, asked_at + STOP_SECONDS + 2 - time.monotonic())
             try:
-                status = process.child.wait(timeout=left)
+                status = process.child.wait(timeout=remaining)
             except subprocess.TimeoutExpired:
                 self.problems.append(f"{process.name} ({process.command[0]}) did not stop")
                 process.kill()
@@ -350,42 +353,42 @@
                 self.problems.append(f"{process.name} ({process.command[0]}) stopped with status {status}")
 
 
-class Crasher(threading.Thread):
-    """Sends a request that ends the endpoints that run it, to one node after the other."""
+class CrashRequestSender(threading.Thread):
+    """Sends a request that crashes the endpoints that run it, to random nodes."""
 
-    def __init__(self, fleet, chaos, seed):
+    def __init__(self, fleet, injector, seed):
         super().__init__(daemon=True)
         self.fleet = fleet
-        self.chaos = chaos
+        self.injector = injector
         self.random = random.Random(f"{seed}-crasher")
         self.stopping = threading.Event()
-        self.sent_on = []  # when a node in touch did so
-        self.held_back = 0
+        self.forwarded_at = []  # times at which a settled node forwarded it
+        self.quarantined_count = 0
 
     def run(self):
         count = 0
-        while not self.stopping.wait(CRASH_EVERY):
+        while not self.stopping.wait(CRASH_INTERVAL):
             node = f"n{self.random.randrange(NODES)}"
-            in_touch = self.chaos.in_touch(node)
+            settled = self.injector.is_settled(node)
             count += 1
-            status, body = one_request(self.fleet.callers(node), "safe", "", f"crash-{count}",
+            status, body = send_request(self.fleet.caller_address(node), "safe", "", f"crash-{count}",
                                        body=CRASH_BODY)
             if "quarantined" in body:
-                self.held_back += 1
-            elif status == 502 and in_touch and self.chaos.in_touch(node):
-                self.sent_on.append(time.monotonic())
+                self.quarantined_count += 1
+            elif status == 502 and settled and self.injector.is_settled(node):
+                self.forwarded_at.append(time.monotonic())
 
     def problems(self):
-        if len(self.sent_on) < 3:
+        if len(self.forwarded_at) < 3:
             return []
-        later = [at for at in self.sent_on if at - self.sent_on[2] > CRASH_KNOWN_SECONDS]
-        if len(later) <= CRASH_MOST_LATER:
+        later = [at for at in self.forwarded_at if at - self.forwarded_at[2] > CRASH_DETECTION_SECONDS]
+        if len(later) <= CRASH_MAX_FORWARDED:
             return []
-        return [f"CRASHES a request that ends endpoints was sent on {len(later)} times"]
+        return [f"CRASHES a request that crashes endpoints was forwarded {len(later)} times"]
 
 
-def most_within(moments, window):
-    """The most of these moments within any such window."""
+def max_in_window(moments, window):
+    """Returns the largest number of moments within any window of this length."""
     moments = sorted(moments)
     first = most = 0
     for last, moment in enumerate(moments):
@@ -395,34 +398,35 @@
     return most
 
 
-def check_limits(chaos, results):
-    """What endpoints with limits got from nodes in touch that had passed the announcement on."""
-    sent_by = {r["id"]: (r["node"], r["life"]) for r in results if "life" in r}
-    passed_on = {}  # life of a node, life of an endpoint: when first
+def check_limits(injector, results):
+    """Checks what endpoints with limits got from settled nodes that had forwarded the announcement."""
+    sent_by = {r["id"]: (r["node"], r["process"]) for r in results if "process" in r}
+    first_forwarded = {}  # (node process, endpoint instance) -> first time
     for r in results:
-        if "limited" in r:
-            key = (r["life"], r["limited"])
-            passed_on[key] = min(r["ended_wall"], passed_on.get(key, r["ended_wall"]))
+        if "limited_instance" in r:
+            key = (r["process"], r["limited_instance"])
+            first_forwarded[key] = min(r["ended_wall"], first_forwarded.get(key, r["ended_wall"]))
     problems = []
-    for name, limit, arrivals in chaos.limit_runs:
+    for name, limit, arrivals in injector.limit_arrivals:
         moments = []
         for milliseconds, request_id in arrivals:
             moment = milliseconds / 1000
-            node, life = sent_by.get(request_id, (None, None))
-            told = passed_on.get((life, chaos.fleet.instance_of.get(name)))
-            if told is not None and moment >= told + LIMIT_PASSED_ON and chaos.was_in_touch(node, moment):
+            node, process = sent_by.get(request_id, (None, None))
+            forwarded_time = first_forwarded.get((process, injector.fleet.instance_of.get(name)))
+            if (forwarded_time is not None and moment >= forwarded_time + LIMIT_FORWARD_SECONDS
+                    and injector.was_settled(node, moment)):
                 moments.append(moment)
-        allowed = LIMIT_TOLERANCE * LIMIT_WINDOW * limit / 1000 + LIMIT_EXTRA
-        most = most_within(moments, LIMIT_WINDOW)
+        allowed = LIMIT_TOLERANCE * LIMIT_WINDOW * limit / 1000 + LIMIT_BURST
+        most = max_in_window(moments, LIMIT_WINDOW)
         if most > allowed:
-            problems.append(f"LIMIT {name} with {limit / 1000} a second got {most} in {LIMIT_WINDOW} s; "
-                            f"allowed {allowed:.1f}")
+            problems.append(f"LIMIT {name} with {limit / 1000} requests per second got {most} "
+                            f"in {LIMIT_WINDOW} s; allowed {allowed:.1f}")
     return problems
 
 
-def judge(fleet, chaos, clients):
-    """Broken promises, each as a line."""
-    problems = list(chaos.problems)
+def check_results(fleet, injector, clients):
+    """Returns the violated guarantees, one line each, and all results in order of their end."""
+    problems = list(injector.problems)
     runs = fleet.all_runs()
     configured = {}
     results = sorted((r for client in clients for r in client.results), key=lambda r: r["ended"])
@@ -433,25 +437,25 @@
         if r["kind"] == "once" and r["status"] in (408, 421, 429, 503) and ran > 0:
             problems.append(f"REFUSED {r['id']} with {r['status']}, but it ran")
         if r["status"] == 200 and r["whole"]:
-            wanted = (whole_stream(r["id"], r["model"]) if r["kind"] == "stream"
-                      else json.dumps({"id": r["id"]}, separators=(",", ":")))
-            if r["body"] != wanted:
+            expected = (expected_stream(r["id"], r["model"]) if r["kind"] == "stream"
+                        else json.dumps({"id": r["id"]}, separators=(",", ":")))
+            if r["body"] != expected:
                 problems.append(f"MIXED {r['id']}: {r['body'][:80]!r}")
         if r["status"] == 404:
-            seen = configured.get(r.get("life"))
-            if r["kind"] != "added" or (seen is not None and seen < r["at"]):
-                problems.append(f"CONFIG {r['id']} refused with 404 by {r.get('life')}")
+            seen = configured.get(r.get("process"))
+            if r["kind"] != "added" or (seen is not None and seen < r["started"]):
+                problems.append(f"CONFIG {r['id']} refused with 404 by {r.get('process')}")
         elif r["kind"] == "added" and r["status"] == 200:
-            configured.setdefault(r["life"], r["ended"])
-        killed = chaos.killed.get(r.get("life"))
-        excused = killed is not None and r["ended"] >= killed - KILL_SLACK
-        if r["status"] == 0 and ran > 0 and not excused:
-            problems.append(f"LOST {r['id']} ran, but {r.get('life')} gave no answer: {r['error']}")
+            configured.setdefault(r["process"], r["ended"])
+        killed = injector.killed.get(r.get("process"))
+        interrupted = killed is not None and r["ended"] >= killed - KILL_CLOCK_SLACK
+        if r["status"] == 0 and ran > 0 and not interrupted:
+            problems.append(f"LOST {r['id']} ran, but {r.get('process')} gave no answer: {r['error']}")
     return problems, results
 
 
-def recover(fleet):
-    """All faults are over: every node must serve everything again."""
+def check_recovery(fleet):
+    """Checks that every node serves everything again once all faults are over."""
     until = time.monotonic() + RECOVERY_SECONDS
     missing = {(f"n{i}", kind, model) for i in range(NODES)
                for kind, model in [("once", ""), ("safe", "")] + [("stream", m) for m in MODELS]}
@@ -459,37 +463,37 @@
     while missing and time.monotonic() < until:
         for node, kind, model in sorted(missing):
             count += 1
-            status, _ = one_request(fleet.callers(node), kind, model, f"after-{count}")
+            status, _ = send_request(fleet.caller_address(node), kind, model, f"after-{count}")
             if status == 200:
                 missing.discard((node, kind, model))
     return [f"RECOVER {node} does not serve {kind} {model}" for node, kind, model in missing]
 
 
-def keys_hold(fleet):
-    """No node lets a caller in whose key nobody holds, and no key went on to an endpoint."""
+def check_keys(fleet):
+    """Checks that nodes reject unknown API keys and that no key was forwarded to an endpoint."""
     problems = []
     for i in range(NODES):
-        status, _ = one_request(fleet.callers(f"n{i}"), "safe", "", f"unknown-{i}", UNKNOWN_KEY)
+        status, _ = send_request(fleet.caller_address(f"n{i}"), "safe", "", f"unknown-{i}", UNKNOWN_KEY)
         if status != 401:
             problems.append(f"KEYS n{i} answers {status} to an unknown key")
-    if fleet.leaked:
-        problems.append(f"KEYS {fleet.leaked} requests reached an endpoint with their key")
+    if fleet.leaked_keys:
+        problems.append(f"KEYS {fleet.leaked_keys} requests reached an endpoint with their API key")
     return problems
 
 
-def in_force(fleet):
-    """All open connections fall silent, then a configuration comes: it must be in force soon."""
+def check_configuration_applied(fleet):
+    """Stalls all open connections, then checks that a new configuration is soon applied everywhere."""
     for proxy in list(fleet.proxies.values()):
-        proxy.hush_open()
-    fleet.configure(newest=f"/v{fleet.version + 1}/")
-    until = time.monotonic() + IN_FORCE_SECONDS
+        proxy.stall_open()
+    fleet.write_configuration(extra_prefix=f"/v{fleet.version + 1}/")
+    until = time.monotonic() + APPLY_SECONDS
 
-    def knows(node):
+    def has_version(node):
         count = 0
         while time.monotonic() < until:
             count += 1
-            status, _ = one_request(fleet.callers(node), f"v{fleet.version}", "",
-                                    f"newest-{node}-{count}")
+            status, _ = send_request(fleet.caller_address(node), f"v{fleet.version}", "",
+                                    f"applied-{node}-{count}")
             if status not in (0, 404):
                 return True
             time.sleep(0.02)
@@ -497,75 +501,75 @@
 
     nodes = [f"n{i}" for i in range(NODES)]
     with concurrent.futures.ThreadPoolExecutor(NODES) as pool:
-        known = list(pool.map(knows, nodes))
-    return [f"CONFIG {node} does not know version {fleet.version} after {IN_FORCE_SECONDS} s"
-            for node, known_there in zip(nodes, known) if not known_there]
+        applied = list(pool.map(has_version, nodes))
+    return [f"CONFIG {node} does not know version {fleet.version} after {APPLY_SECONDS} s"
+            for node, is_applied in zip(nodes, applied) if not is_applied]
 
 
 class Upgrade:
-    """Nodes are replaced by ones of the other build in turn, some of them by force."""
+    """Replaces the nodes one by one with the other build, killing some of them."""
 
-    def __init__(self, chaos, seconds, seed):
-        self.chaos = chaos
+    def __init__(self, injector, seconds, seed):
+        self.injector = injector
         self.random = random.Random(f"{seed}-upgrade")
         nodes = [f"n{i}" for i in range(NODES)]
         self.random.shuffle(nodes)
         started = time.monotonic()
-        self.left = [(started + seconds * (i + 1) / (NODES + 1), name)
+        self.pending = [(started + seconds * (i + 1) / (NODES + 1), name)
                      for i, name in enumerate(nodes)]
 
     def due(self):
-        while self.left and time.monotonic() >= self.left[0][0]:
-            _, name = self.left.pop(0)
-            self.chaos.replace_node(name, self.random.random() < KILLED_SHARE)
+        while self.pending and time.monotonic() >= self.pending[0][0]:
+            _, name = self.pending.pop(0)
+            self.injector.replace_node(name, self.random.random() < FORCED_SHARE)
 
 
 def soak(folder, build, seconds, seed, other=None, back=False, restoring=True):
-    """`other`: the program of another build, by which the nodes begin; `back`: end with it."""
+    """`other` is the daemon of another build that the nodes run first, or last if `back` is set."""
     fleet = start_fleet(folder, build, None if back else other)
     fleet.log = open(folder / "faults.log", "w", buffering=1)
-    chaos = Chaos(fleet, seed)
-    chaos.restoring = restoring
+    injector = FaultInjector(fleet, seed)
+    injector.restoring = restoring
     try:
-        problems = recover(fleet)
+        problems = check_recovery(fleet)
         clients = [Client(fleet, i, seed) for i in range(CLIENTS)]
         for client in clients:
             client.start()
-        crasher = Crasher(fleet, chaos, seed)
-        crasher.start()
-        upgrade = Upgrade(chaos, seconds, seed) if other else None
-        fleet.next_daemon = other if back else fleet.daemon
+        crash_sender = CrashRequestSender(fleet, injector, seed)
+        crash_sender.start()
+        upgrade = Upgrade(injector, seconds, seed) if other else None
+        fleet.replacement_daemon = other if back else fleet.daemon
         until = time.monotonic() + seconds
         while time.monotonic() < until:
-            time.sleep(chaos.random.uniform(*FAULT_EVERY))
-            chaos.due()
-            chaos.start_ended()
-            chaos.strike()
+            time.sleep(injector.random.uniform(*FAULT_INTERVAL))
+            injector.run_due()
+            injector.restart_crashed()
+            injector.inject_fault()
             if upgrade:
                 upgrade.due()
-        crasher.stopping.set()
-        crasher.join(timeout=15)
-        chaos.counts["held_back"] = crasher.held_back
-        problems += crasher.problems()
-        chaos.start_ended()
-        chaos.due(everything=True)
+        crash_sender.stopping.set()
+        crash_sender.join(timeout=15)
+        injector.counts["quarantined"] = crash_sender.quarantined_count
+        problems += crash_sender.problems()
+        injector.restart_crashed()
+        injector.run_due(everything=True)
         for client in clients:
             client.stopping.set()
         for client in clients:
             client.join(timeout=15)
-        problems += recover(fleet)
-        problems += in_force(fleet)
-        problems += recover(fleet)
-        chaos.check_stops()
+        problems += check_recovery(fleet)
+        problems += check_configuration_applied(fleet)
+        problems += check_recovery(fleet)
+        injector.check_stops()
         for i in range(NODES):
             status = fleet.processes[f"n{i}"].child.poll()
             if status is not None:
                 program = fleet.processes[f"n{i}"].command[0]
-                problems.append(f"n{i} ({program}) ended by itself with status {status}")
-        broken, results = judge(fleet, chaos, clients)
-        # An earlier build keeps to no limits.
-        problems += [] if other else check_limits(chaos, results)
-        return problems + broken + keys_hold(fleet), results, chaos.counts
+                problems.append(f"n{i} ({program}) exited unexpectedly with status {status}")
+        broken, results = check_results(fleet, injector, clients)
+        # Earlier builds do not apply the limits.
+        problems += [] if other else check_limits(injector, results)
+        return problems + broken + check_keys(fleet), results, injector.counts
     finally:
         fleet.stop_all()
         fleet.log.close()
@@ -576,11 +580,12 @@
     parser.add_argument("--seconds", type=float, default=20)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--build", default="build")
-    parser.add_argument("--other-daemon", help="begin with this program, and replace node by node")
-    parser.add_argument("--back", action="store_true", help="begin with our own and end with the other")
+    parser.add_argument("--other-daemon", help="start with this daemon, then replace it node by node")
+    parser.add_argument("--back", action="store_true",
+                        help="start with the tested build and end with the other")
     parser.add_argument("--folder")
     parser.add_argument("--no-restores", action="store_true",
-                        help="for an earlier build that does not stand a store that comes back older")
+                        help="for an earlier build that cannot handle a store restored to an older state")
     options = parser.parse_args()
     folder = pathlib.Path(options.folder or tempfile.mkdtemp(prefix="rudderloom-soak-"))
     folder.mkdir(parents=True, exist_ok=True)
--- a/tools/generate_schema.sh
+++ b/tools/generate_schema.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Makes the committed Cap'n Proto code anew. Needs Debian's capnproto; the build does not.
+# Regenerates the committed Cap'n Proto code. Needs Debian's capnproto package; the build does not.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=src/rudderloom/generated
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Installs what the build, the tests and the demo need, from Debian's packages.
+# Installs the Debian packages that the build, the tests and the demo need.
 set -euo pipefail
 packages=(
   g++ cmake ninja-build ccache curl python3
--- a/tools/late_requests.py
+++ b/tools/late_requests.py
@@ -1,9 +1,9 @@
 #!/usr/bin/env python3
-"""By route: how many requests were in time, and why the others were not, from the nodes' logs.
+"""Counts per route, from the logs of the nodes, the requests in time and the causes of the others.
 
 usage: tools/late_requests.py [--from SECONDS] [--until SECONDS] LOG...
-Reads `event=request_ended` lines of daemons with "interface": "fleet". Where a line begins with a
-number of seconds, --from and --until choose among the lines.
+Reads `event=request_ended` lines of daemons with "interface": "fleet". Where lines begin with a
+number of seconds, --from and --until select a range of them.
 """
 import argparse
 import collections
@@ -11,14 +11,15 @@
 
 FIELD = re.compile(r"(\w+)=(\S*)")
 SECONDS = re.compile(r"\s*(-?\d+\.\d+)\s")
-# A request that waited longer for its model than this was late for that.
+# Above this wait for its model, a late request is attributed to the wait.
 LONG_WAIT_MS = 200
-# Prompt tokens not yet read on the chosen endpoint that make the next one late.
-LONG_QUEUE_TOKENS = 20_000
+# Above this number of unprocessed prompt tokens on the endpoint, a late request is attributed to
+# them.
+LONG_PROMPT_TOKENS = 20_000
 
 
 def cause_of(line):
-    """Why this request earned less than its full credit; "in time" when it did not."""
+    """Returns why a request was late or failed, or "in time"."""
     if line["outcome"] != "answered":
         return line["outcome"]
     if not line["status"].startswith("2"):
@@ -31,18 +32,18 @@
             return "late: another attempt"
         if int(line.get("waited_ms", 0)) > LONG_WAIT_MS:
             return "late: waited for its model"
-        if int(line.get("unread_ahead", 0)) > LONG_QUEUE_TOKENS:
+        if int(line.get("unread_ahead", 0)) > LONG_PROMPT_TOKENS:
             return "late: behind long prompts"
         return "late: other"
     return "paused" if int(line["pause_ms"]) > int(line["pause_limit_ms"]) else "in time"
 
 
-def lines_of(paths, first, last):
+def request_lines(paths, first, last):
     for path in paths:
         with open(path, encoding="utf-8", errors="replace") as log:
             for text in log:
-                moment = SECONDS.match(text)
-                if moment and not first <= float(moment.group(1)) <= last:
+                timestamp = SECONDS.match(text)
+                if timestamp and not first <= float(timestamp.group(1)) <= last:
                     continue
                 if "event=request_ended " in text:
                     yield dict(FIELD.findall(text.split("event=request_ended ")[1]))
@@ -55,7 +56,7 @@
     parser.add_argument("--until", dest="last", type=float, default=float("inf"))
     options = parser.parse_args()
     routes = collections.defaultdict(collections.Counter)
-    for line in lines_of(options.logs, options.first, options.last):
+    for line in request_lines(options.logs, options.first, options.last):
         routes[line.get("route", "no route")][cause_of(line)] += 1
     for route, causes in sorted(routes.items()):
         total = sum(causes.values())
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# clang-format, clang-tidy and a search for types defined twice, over the project's own sources; exit
-# status 0 when all are clean.
+# Runs clang-format, clang-tidy and the check for duplicate type definitions on the project's
+# sources;
+# exit status 0 when all are clean.
 # usage: tools/lint.sh BUILD_DIRECTORY
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/lint_files.py
+++ b/tools/lint_files.py
@@ -1,6 +1,6 @@
 #!/usr/bin/env python3
-"""Runs clang-tidy over sources, several at once; one that was clean before with the same text, after
-preprocessing, and the same checks is not run again.
+"""Runs clang-tidy on sources in parallel. Skips a source whose preprocessed text was already clean with
+the same checks.
 
 usage: tools/lint_files.py BUILD_DIRECTORY SOURCE ...   Exit status 0 when all are clean.
 """
@@ -15,16 +15,16 @@
 import sys
 
 CACHE = pathlib.Path(os.environ.get("XDG_CACHE_HOME", pathlib.Path.home() / ".cache"))
-CLEAN = CACHE / "rudderloom-lint"
+CLEAN_CACHE = CACHE / "rudderloom-lint"
 
 
 def without_precompiled_header(command):
-    """GCC's precompiled headers mean nothing to clang."""
+    """Removes GCC's precompiled header from a command, as clang cannot read it."""
     return re.sub(r"-include \S*cmake_pch\.hxx|-Winvalid-pch", "", command)
 
 
-def commands_of(build):
-    """Compile commands by source, also written where clang-tidy reads them."""
+def load_compile_commands(build):
+    """Returns the compile commands by source and writes them where clang-tidy reads them."""
     entries = json.loads((build / "compile_commands.json").read_text())
     for entry in entries:
         entry["command"] = without_precompiled_header(entry["command"])
@@ -33,8 +33,8 @@
     return {os.path.realpath(entry["file"]): entry for entry in entries}
 
 
-def key_of(entry, checks):
-    """Names the source's text with all its headers and comments, and the checks."""
+def cache_key(entry, checks):
+    """Returns a hash over the checks and the preprocessed source with its headers and comments."""
     words = shlex.split(entry["command"])
     at = words.index("-o")
     words = words[:at] + words[at + 2:]
@@ -45,25 +45,25 @@
 
 
 def lint(source, entry, build, checks):
-    """What clang-tidy found in one source; empty when it is clean."""
-    key = CLEAN / key_of(entry, checks)
+    """Returns the findings of clang-tidy in one source; empty when it is clean."""
+    key = CLEAN_CACHE / cache_key(entry, checks)
     if key.exists():
         return ""
-    done = subprocess.run(["clang-tidy", "-p", str(build / "lint"), "--quiet",
+    result = subprocess.run(["clang-tidy", "-p", str(build / "lint"), "--quiet",
                            "--warnings-as-errors=*", source], capture_output=True, text=True, check=False)
-    if done.returncode == 0:
+    if result.returncode == 0:
         key.touch()
         return ""
-    return done.stdout or done.stderr
+    return result.stdout or result.stderr
 
 
 def main():
     build = pathlib.Path(sys.argv[1])
     sources = sys.argv[2:]
-    CLEAN.mkdir(parents=True, exist_ok=True)
+    CLEAN_CACHE.mkdir(parents=True, exist_ok=True)
     version = subprocess.run(["clang-tidy", "--version"], capture_output=True, check=True).stdout
     checks = version + pathlib.Path(".clang-tidy").read_bytes()
-    commands = commands_of(build)
+    commands = load_compile_commands(build)
     failed = False
     with concurrent.futures.ThreadPoolExecutor(os.cpu_count()) as pool:
         jobs = [pool.submit(lint, source, commands[os.path.realpath(source)], build, checks)
--- a/tools/loopback_proxy.py
+++ b/tools/loopback_proxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy on loopback whose connections can be delayed, reset, silenced or cut one way."""
+"""TCP proxy on loopback that can delay, reset, stall or half-block its connections."""
 import socket
 import struct
 import threading
@@ -8,12 +8,12 @@
 
 
 class LoopbackProxy:
-    """Forwards one port of its own to `target`, which may be set after the start.
+    """Forwards a port of its own to `target`, which may be set after construction.
 
-    `mode` holds for all connections, old and new: "pass", "delay" (each piece waits for `delay`
-    seconds), "silent" (nothing passes and new connections hang), "one_way" (nothing comes back).
-    What was held up passes on when the mode is "pass" again. `hush_open` silences the connections
-    that are open now, for good and without a reset; new ones work.
+    `mode` applies to all connections, existing and new: "pass", "delay" (each chunk waits `delay`
+    seconds), "silent" (nothing is forwarded and new connections hang), "one_way" (nothing is forwarded
+    from the target to the client). Held data is forwarded once the mode is "pass" again.
+    `stall_open` permanently stalls the open connections without a reset; new ones work.
     """
 
     def __init__(self):
@@ -21,14 +21,14 @@
         self.mode = "pass"
         self.delay = 0.0
         self.pairs = set()
-        self.hushed = set()
+        self.stalled = set()
         self.lock = threading.Lock()
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=128)
         self.address = "127.0.0.1:%d" % self.listener.getsockname()[1]
         threading.Thread(target=self._accept, daemon=True).start()
 
     def reset_all(self):
-        """Ends every connection with a reset."""
+        """Closes every connection with a TCP reset."""
         with self.lock:
             pairs = list(self.pairs)
         for pair in pairs:
@@ -39,10 +39,10 @@
                 except OSError:
                     pass
 
-    def hush_open(self):
-        """Nothing passes any more on the connections that are open now."""
+    def stall_open(self):
+        """Permanently stops forwarding on the connections that are open now."""
         with self.lock:
-            self.hushed |= self.pairs
+            self.stalled |= self.pairs
 
     def close(self):
         self.listener.close()
@@ -51,49 +51,49 @@
     def _accept(self):
         while True:
             try:
-                caller, _ = self.listener.accept()
+                client, _ = self.listener.accept()
             except OSError:
                 return
-            threading.Thread(target=self._connect, args=(caller,), daemon=True).start()
+            threading.Thread(target=self._connect, args=(client,), daemon=True).start()
 
-    def _connect(self, caller):
-        self._await_passage(back=False)
+    def _connect(self, client):
+        self._wait_until_forwarding(to_client=False)
         host, port = self.target.rsplit(":", 1)
         try:
-            called = socket.create_connection((host, int(port)), timeout=2)
+            upstream = socket.create_connection((host, int(port)), timeout=2)
         except OSError:
-            caller.close()
+            client.close()
             return
-        called.settimeout(None)
-        pair = (caller, called)
+        upstream.settimeout(None)
+        pair = (client, upstream)
         with self.lock:
             self.pairs.add(pair)
-        back = threading.Thread(target=self._pump, args=(pair, called, caller, True), daemon=True)
-        back.start()
-        self._pump(pair, caller, called, False)
-        back.join()
+        response_pump = threading.Thread(target=self._pump, args=(pair, upstream, client, True), daemon=True)
+        response_pump.start()
+        self._pump(pair, client, upstream, False)
+        response_pump.join()
         with self.lock:
             self.pairs.discard(pair)
-            self.hushed.discard(pair)
-        caller.close()
-        called.close()
+            self.stalled.discard(pair)
+        client.close()
+        upstream.close()
 
-    def _await_passage(self, back):
-        while self.mode == "silent" or (back and self.mode == "one_way"):
+    def _wait_until_forwarding(self, to_client):
+        while self.mode == "silent" or (to_client and self.mode == "one_way"):
             time.sleep(0.01)
 
-    def _pump(self, pair, source, sink, back):
+    def _pump(self, pair, source, sink, to_client):
         try:
             while data := source.recv(CHUNK):
                 if self.mode == "delay":
                     time.sleep(self.delay)
-                self._await_passage(back)
-                if pair not in self.hushed:
+                self._wait_until_forwarding(to_client)
+                if pair not in self.stalled:
                     sink.sendall(data)
         except OSError:
             pass
-        if pair in self.hushed:
-            return  # also the end is not told
+        if pair in self.stalled:
+            return  # the end of the stream is not forwarded either
         try:
             sink.shutdown(socket.SHUT_WR)
         except OSError:
--- a/tools/make_days.py
+++ b/tools/make_days.py
@@ -1,18 +1,20 @@
 #!/usr/bin/env python3
-"""Writes the days of our own.
+"""Generates day files: scenarios of faults and planned changes for the users' bench.
 
 usage: tools/make_days.py [--every-kind DIRECTORY]
-Without arguments: those of deploy/days, which the bench's hunts play on every deployment that they fit.
-With --every-kind: each kind of trouble alone, twice, and pairs that meet, some ninety days.
-Times are seconds from the start of traffic. The shares and strengths are those of an ordinary day.
+Without arguments: writes deploy/days, which the bench's hunts run on every deployment that they
+fit.
+With --every-kind: writes about 110 days, each with one kind of event twice or with an
+overlapping pair.
+Times are seconds from the start of traffic. Shares and strengths are those of an ordinary day.
 @c0, @s0 and @z0 stand for a deployment's first kind of request, service and zone.
 """
 import pathlib
 import sys
 
-HUNTED = pathlib.Path(__file__).resolve().parent.parent / "deploy" / "days"
+DAYS_DIRECTORY = pathlib.Path(__file__).resolve().parent.parent / "deploy" / "days"
 
-KINDS = {
+EVENT_KINDS = {
     "srv_crash_dark": "kind = 'srv_crash', share = 0.2, for_s = 4.0, how = 'dark'",
     "srv_crash_gone": "kind = 'srv_crash', share = 0.15, for_s = 4.0, how = 'gone'",
     "srv_grey_hang": "kind = 'srv_grey', share = 0.2, x = 0.45, for_s = 6.0, how = 'hang'",
@@ -105,17 +107,17 @@
     "shift_first_zone": "kind = 'shift', zone = '@z0', share = 0.6, for_s = 8.0",
 }
 
-PLANNED = ("scale_in_reclaim", "scale_in_spot", "scale_out", "release_all", "roll_term", "roll_remove",
+PLANNED_KINDS = ("scale_in_reclaim", "scale_in_spot", "scale_out", "release_all", "roll_term", "roll_remove",
            "hup", "config_storm", "big_config", "replace_planned", "revoke", "revoke_last", "quota_down",
            "quota", "topup", "tenant")
 
-# Each with what it asks of the system; troubles by name and second, and the day's end if it has one.
-HUNTED_DAYS = {
-    # Nodes that are cut off must hear of keys taken away from their neighbours.
+# Days by name: events with their start in seconds. The comments name what each group tests.
+DAYS = {
+    # Isolated nodes must learn of revoked keys from neighbouring nodes.
     "keys_taken_behind_cuts": [("node_cut_all", 4.0), ("revoke_last", 5.0), ("revoke", 18.0), ("core_cut_all", 17.0)],
     "keys_taken_in_outages": [("down_nodes", 4.0), ("revoke", 5.0), ("roll_term", 6.0), ("revoke_last", 20.0), ("down_busy", 19.0)],
     "keys_move_between_customers": [("tenant", 4.0), ("node_freeze", 4.5), ("tenant", 9.0), ("config_storm", 9.5), ("tenant", 21.0)],
-    # A customer far over its limit, while who counts it changes.
+    # A customer far over its limit while the node that counts its usage changes.
     "hot_customer_holder_killed": [("hot_first", 3.0), ("node_kill_leader", 6.0), ("replace_core", 9.0), ("hot_second", 17.0), ("node_freeze_renewed", 20.0)],
     "hot_customer_all_killed": [("hot_second", 3.0), ("herd_kill", 6.0), ("hot_first", 18.0), ("herd_off", 21.0)],
     "hot_small_customer": [("hot_small", 3.0), ("node_slow_leader", 5.0), ("hot_small", 18.0), ("core_cut_leader", 20.0)],
@@ -124,21 +126,21 @@
     "hot_customers_two": [("hot_first", 3.0), ("hot_second", 4.0), ("burst", 5.0), ("hot_small", 18.0), ("retry_abuse", 19.0)],
     "quota_lowered_in_storm": [("quota_down", 4.0), ("config_storm", 4.5), ("core_cut_leader", 6.0), ("topup", 14.0), ("quota_down", 20.0), ("platform_slow", 20.5)],
     "quota_raised_and_lowered": [("quota", 3.0), ("topup", 7.0), ("quota_down", 11.0), ("hot_first", 12.0), ("quota", 20.0), ("node_kill_leader", 21.0)],
-    # Endpoints that start again under their names.
+    # Endpoints that restart under the same names.
     "reborn_with_late_orders": [("srv_cut_reborn", 4.0), ("applied_late", 3.0), ("srv_cut_reborn", 18.0), ("platform_lost_late", 17.0)],
     "reborn_as_holder_changes": [("node_cut_reborn", 4.0), ("node_kill_leader", 5.0), ("srv_cut_reborn", 18.0), ("core_cut_leader", 18.5)],
     "reborn_while_leaving": [("release_all", 3.0), ("srv_cut_reborn", 4.0), ("scale_in_spot", 17.0), ("node_cut_reborn", 18.0)],
-    # What earlier findings teach.
+    # Combinations that revealed faults before.
     "takeovers_in_a_row": [("node_kill_leader", 3.0), ("node_freeze_renewed", 8.0), ("core_cut_leader", 15.0), ("node_slow_leader", 20.0)],
     "connections_reset_in_bursts": [("burst_first_class", 3.0), ("reset_conns", 4.0), ("lossy", 5.0), ("burst_first_class", 18.0), ("reset_conns", 19.0)],
     "first_service_fails": [("grey_first_service", 4.0), ("retry_abuse", 4.0), ("grey_first_service", 18.0), ("answer_lost", 18.0)],
 }
-HUNTED_ENDS = {
+DAYS_WITH_CLOSING = {
     "hot_customer_at_the_end": ([("hot_first", 26.0), ("quota_down", 4.0)], "kill_all"),
     "keys_taken_at_the_end": ([("revoke_last", 28.0), ("hot_small", 20.0)], "power_off_all"),
 }
-# Requests that crash endpoints, while those who count them change.
-HUNTED_CRASHES = {
+# Requests that crash endpoints while the nodes that count the crashes change.
+CRASH_DAYS = {
     "deadly_holder_killed": [("deadly", 3.0), ("node_kill_leader", 6.0), ("replace_core", 9.0), ("node_freeze_renewed", 15.0)],
     "deadly_store_down": [("deadly_rare", 3.0), ("down_silent", 5.0), ("deadly_short", 18.0), ("herd_kill", 20.0)],
     "deadly_in_bursts": [("deadly_short", 4.0), ("burst_first_class", 4.0), ("release_all", 5.0), ("deadly_short", 17.0), ("node_cut_all", 17.5)],
@@ -168,14 +170,14 @@
 ]
 
 
-def entry(name, at):
-    return "  { at = %.2f, %s },\n" % (at, KINDS[name].replace("'", '"'))
+def format_event(name, at):
+    return "  { at = %.2f, %s },\n" % (at, EVENT_KINDS[name].replace("'", '"'))
 
 
-def day(name, seed, troubles, closing=None):
-    plan = "".join(entry(kind, at) for kind, at in troubles if kind in PLANNED)
-    faults = "".join(entry(kind, at) for kind, at in troubles if kind not in PLANNED)
-    # Something is always being loaded and changed meanwhile.
+def format_day(name, seed, events, closing=None):
+    plan = "".join(format_event(kind, at) for kind, at in events if kind in PLANNED_KINDS)
+    faults = "".join(format_event(kind, at) for kind, at in events if kind not in PLANNED_KINDS)
+    # Every day also loads models and changes the configuration.
     plan += '  { at = 3.0, kind = "model_shift", count = 3, for_s = 5.0 },\n'
     plan += '  { at = 18.0, kind = "model_shift", count = 3, for_s = 5.0 },\n'
     plan += '  { at = 6.2, kind = "config_change", how = "idle" },\n'
@@ -190,33 +192,33 @@
     (directory / ("%s.toml" % name)).write_text(text, encoding="utf-8")
 
 
-def write_hunted():
-    HUNTED.mkdir(parents=True, exist_ok=True)
+def write_days():
+    DAYS_DIRECTORY.mkdir(parents=True, exist_ok=True)
     seed = 5000
-    for name, troubles in HUNTED_DAYS.items():
+    for name, events in DAYS.items():
         seed += 1
-        write(HUNTED, name, day(name, seed, troubles))
-    for name, (troubles, closing) in HUNTED_ENDS.items():
+        write(DAYS_DIRECTORY, name, format_day(name, seed, events))
+    for name, (events, closing) in DAYS_WITH_CLOSING.items():
         seed += 1
-        write(HUNTED, name, day(name, seed, troubles, '{ kind = "%s", down_s = 1.0 }' % closing))
-    for name, troubles in HUNTED_CRASHES.items():
+        write(DAYS_DIRECTORY, name, format_day(name, seed, events, '{ kind = "%s", down_s = 1.0 }' % closing))
+    for name, events in CRASH_DAYS.items():
         seed += 1
-        write(HUNTED, name, day(name, seed, troubles))
+        write(DAYS_DIRECTORY, name, format_day(name, seed, events))
 
 
 def write_every_kind(directory):
     directory.mkdir(parents=True, exist_ok=True)
     seed = 1000
-    for name in KINDS:
+    for name in EVENT_KINDS:
         seed += 1
-        write(directory, "twice_" + name, day("twice-" + name, seed, [(name, 5.0), (name, 19.0)]))
+        write(directory, "twice_" + name, format_day("twice-" + name, seed, [(name, 5.0), (name, 19.0)]))
     for first, second in PAIRS:
         seed += 1
-        troubles = [(first, 5.0), (second, 6.5), (first, 19.5), (second, 18.6)]
-        write(directory, "pair_%s_%s" % (first, second), day("pair-%s-%s" % (first, second), seed, troubles))
+        events = [(first, 5.0), (second, 6.5), (first, 19.5), (second, 18.6)]
+        write(directory, "pair_%s_%s" % (first, second), format_day("pair-%s-%s" % (first, second), seed, events))
     for closing in ("power_off_all", "wipe_after_ack", "kill_all"):
         seed += 1
-        text = day("closing-" + closing, seed, [("config_storm", 28.0), ("applied_late", 24.0)],
+        text = format_day("closing-" + closing, seed, [("config_storm", 28.0), ("applied_late", 24.0)],
                    '{ kind = "%s", down_s = 1.0, how = "timed" }' % closing)
         write(directory, "closing_" + closing, text)
 
@@ -225,7 +227,7 @@
     if len(sys.argv) == 3 and sys.argv[1] == "--every-kind":
         write_every_kind(pathlib.Path(sys.argv[2]))
     elif len(sys.argv) == 1:
-        write_hunted()
+        write_days()
     else:
         sys.exit(__doc__)
 
--- a/tools/mutate.py
+++ b/tools/mutate.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Applies each mutation to a scratch copy, builds its test and expects the test to fail."""
+"""Applies each mutation to a scratch copy of the tree, builds its test and expects the test to fail."""
 import json
 import pathlib
 import shutil
@@ -13,10 +13,10 @@
                           check=False)
 
 
-def mutated(text, mutation):
+def apply_mutation(text, mutation):
     for change in [mutation, *mutation.get("also", [])]:
         if text.count(change["from"]) != 1:
-            sys.exit(f"mutation \"{mutation['name']}\": its text stands "
+            sys.exit(f"mutation \"{mutation['name']}\": its text occurs "
                      f"{text.count(change['from'])} times in {mutation['file']}")
         text = text.replace(change["from"], change["to"])
     return text
@@ -27,10 +27,10 @@
 
 
 def main():
-    wanted = sys.argv[1] if len(sys.argv) > 1 else ""
+    name_filter = sys.argv[1] if len(sys.argv) > 1 else ""
     root = pathlib.Path.cwd()
     mutations = [m for m in json.loads((root / "tools/mutations.json").read_text())
-                 if wanted in m["name"]]
+                 if name_filter in m["name"]]
     caught = 0
     with tempfile.TemporaryDirectory() as folder:
         scratch = pathlib.Path(folder) / "tree"
@@ -40,7 +40,7 @@
         for mutation in mutations:
             path = scratch / mutation["file"]
             original = path.read_text()
-            path.write_text(mutated(original, mutation))
+            path.write_text(apply_mutation(original, mutation))
             built = build(scratch, mutation["test"])
             if built.returncode != 0:
                 verdict = "DOES NOT BUILD\n" + built.stdout[-2000:]
--- a/tools/play_days.sh
+++ b/tools/play_days.sh
@@ -1,5 +1,6 @@
 #!/usr/bin/env bash
-# Plays days of our own on the users' bench and prints those on which a rule broke.
+# Runs generated days (see make_days.py) on the users' bench and prints the rules that were
+# violated.
 # usage: tools/play_days.sh FLEETBENCH SITE WHY DAY.toml [DAY.toml ...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""Measures how the control cost of an entry node grows with nodes, endpoints, models and changes.
+"""Measures how the control-plane cost of an entry node scales with nodes, endpoints, models and changes.
 
 usage: tools/measure_slopes.sh [nodes|endpoints|models|changes ...]
-Prints one line a size: processor time of the control thread and of the whole idle process, bytes a
-second with platform, peers and endpoints, platform calls a second, and resident memory; each is
-the mean over the entry nodes within one window.
+Prints one line per size: CPU time of the control thread and of the whole idle process, bytes per
+second exchanged with platform, peers and endpoints, platform calls per second, and resident memory.
+Each value is the mean over the entry nodes within one measuring window.
 """
 import json
 import pathlib
@@ -15,8 +15,8 @@
 
 from cluster import Cluster
 
-WINDOW = 6.0
-SETTLE = 3.0
+WINDOW_SECONDS = 6.0
+SETTLE_SECONDS = 3.0
 
 
 def scrape(node):
@@ -39,7 +39,7 @@
     return sum(after.get(key, 0) - before.get(key, 0) for key in after if key.startswith(prefix))
 
 
-def models_text(count):
+def models_json(count):
     return json.dumps({"models": [{"name": f"model-{i}", "version": "1", "pool": "p",
                                    "memory": "256MiB"} for i in range(count)]})
 
@@ -51,25 +51,25 @@
         cluster.start_weight_store(load_ms=10, per_second=1000)
         for i in range(endpoints):
             cluster.start_endpoint(f"e{i}", "p", memory="48GiB")
-        fast = {"residency": {"loads_per_second": 200.0, "loads_at_once": 64, "plan_every": "100ms"}}
-        started = [cluster.start_node(f"n{i}", f"zone-{i % 3}", fast) for i in range(nodes)]
+        settings = {"residency": {"loads_per_second": 200.0, "loads_at_once": 64, "plan_every": "100ms"}}
+        started = [cluster.start_node(f"n{i}", f"zone-{i % 3}", settings) for i in range(nodes)]
         folder = cluster.folder / "set"
         folder.mkdir()
-        (folder / "all.json").write_text(models_text(models))
+        (folder / "all.json").write_text(models_json(models))
         cluster.command("apply", str(folder), "--daemon", started[0].peers, "--wait",
                         "--wait-time", "30s")
-        cluster.wait_served(started[0], 120)
-        time.sleep(SETTLE)
+        cluster.wait_until_resident(started[0], 120)
+        time.sleep(SETTLE_SECONDS)
         before = [scrape(node) for node in started]
-        begun = time.monotonic()
+        window_start = time.monotonic()
         changes = 0
-        while time.monotonic() - begun < WINDOW:
-            if changes_per_second > 0 and changes < (time.monotonic() - begun) * changes_per_second:
+        while time.monotonic() - window_start < WINDOW_SECONDS:
+            if changes_per_second > 0 and changes < (time.monotonic() - window_start) * changes_per_second:
                 undo = ["--undo"] if changes % 2 else []
                 cluster.command("drain", "nobody", "--daemon", started[0].peers, *undo, check=False)
                 changes += 1
             time.sleep(0.02)
-        window = time.monotonic() - begun
+        window = time.monotonic() - window_start
         after = [scrape(node) for node in started]
         mean = lambda values: sum(values) / len(values) / window
         pairs = list(zip(before, after))
--- a/tools/soak.py
+++ b/tools/soak.py
@@ -1,5 +1,5 @@
 #!/usr/bin/env python3
-"""Four entry nodes and eight endpoints at half their capacity, with a random fault every 2 s."""
+"""Soak test: four entry nodes and eight engines at half their capacity, one random fault every 2 s."""
 import argparse
 import random
 import signal
@@ -9,18 +9,18 @@
 import time
 import urllib.error
 
-from cluster import Cluster, fetch, switch_faults
+from cluster import Cluster, fetch_json, set_faults
 
 NODES, ENGINES, MODELS = 4, 8, 12
 SLOTS, TOKENS, TOKEN_MS = 8, 30, 5
-FAULT_EVERY = 2.0
-# Half of what the engines can do, of requests of TOKENS tokens.
+FAULT_INTERVAL_SECONDS = 2.0
+# Half the capacity of the engines, in requests of TOKENS tokens per second.
 RATE = 0.5 * ENGINES * SLOTS / (TOKENS * TOKEN_MS / 1000)
-UNREACHABLE_BOUND = 60.0
-FAST = {"residency": {"loads_per_second": 5.0, "late_order_bound": "20s"}}
+MAX_UNREACHABLE_SECONDS = 60.0
+NODE_SETTINGS = {"residency": {"loads_per_second": 5.0, "late_order_bound": "20s"}}
 
 
-def declarations(folder):
+def write_declarations(folder):
     path = folder / "soak"
     path.mkdir()
     models = [{"name": f"model-{i}", "version": "1", "pool": "p", "memory": "3GiB"}
@@ -31,8 +31,8 @@
     return str(path)
 
 
-class Watcher(threading.Thread):
-    """Asks every node for its generation and every model, and keeps what must never be seen."""
+class MetricsWatcher(threading.Thread):
+    """Polls the metrics of every node for generations that go backwards and models without an endpoint."""
 
     def __init__(self, cluster):
         super().__init__(daemon=True)
@@ -40,14 +40,14 @@
         self.stopping = threading.Event()
         self.reversals = 0
         self.longest_unreachable = 0.0
-        self.seen = {}
-        self.reached = {}
+        self.generations = {}
+        self.last_served = {}
 
     def run(self):
         while not self.stopping.wait(0.5):
-            self.look()
+            self.poll()
 
-    def look(self):
+    def poll(self):
         now = time.monotonic()
         served = set()
         for name in [f"n{i}" for i in range(NODES)]:
@@ -60,15 +60,15 @@
             for line in text.splitlines():
                 if line.startswith("rudderloom_generation "):
                     generation = float(line.split()[1])
-                    self.reversals += generation < self.seen.get(key, 0)
-                    self.seen[key] = generation
+                    self.reversals += generation < self.generations.get(key, 0)
+                    self.generations[key] = generation
                 if line.startswith("rudderloom_serving_endpoints{") and not line.endswith(" 0"):
                     served.add(line.split('"')[1])
         for model in (f"model-{i}" for i in range(MODELS)):
-            last = self.reached.setdefault(model, now)
+            last = self.last_served.setdefault(model, now)
             self.longest_unreachable = max(self.longest_unreachable, now - last)
             if model in served:
-                self.reached[model] = now
+                self.last_served[model] = now
 
 
 def read_text(address, path):
@@ -77,27 +77,27 @@
         return answer.read().decode()
 
 
-class Chaos:
-    """Draws one fault after the other from its seed."""
+class FaultInjector:
+    """Injects random faults drawn from a seed."""
 
     def __init__(self, cluster, seed):
         self.cluster = cluster
         self.random = random.Random(seed)
-        self.later = []
+        self.scheduled = []
         self.counts = {}
-        self.over_memory = 0
+        self.overcommits = 0
 
-    def at(self, moment, what):
-        self.later.append((moment, what))
+    def schedule(self, moment, action):
+        self.scheduled.append((moment, action))
 
-    def due(self):
+    def run_due(self):
         now = time.monotonic()
-        ready = [what for moment, what in self.later if moment <= now]
-        self.later = [(moment, what) for moment, what in self.later if moment > now]
-        for what in ready:
-            what()
+        ready = [action for moment, action in self.scheduled if moment <= now]
+        self.scheduled = [(moment, action) for moment, action in self.scheduled if moment > now]
+        for action in ready:
+            action()
 
-    def strike(self):
+    def inject_fault(self):
         name = self.random.choice(["kill_node", "freeze_node", "kill_engine", "cut_streams",
                                    "platform_down", "lose_answers", "lose_orders", "late_orders",
                                    "slow_engine", "freeze_engine", "silent_watch", "lag_reports"])
@@ -119,7 +119,7 @@
     def freeze(self, name, seconds):
         process = self.cluster.processes[name]
         process.signal(signal.SIGSTOP)
-        self.at(time.monotonic() + seconds, lambda: process.signal(signal.SIGCONT))
+        self.schedule(time.monotonic() + seconds, lambda: process.signal(signal.SIGCONT))
 
     def freeze_node(self):
         self.freeze(self.node(), self.random.uniform(1, 9))
@@ -130,56 +130,56 @@
     def kill_engine(self):
         name = self.engine()
         old = self.cluster.processes[name]
-        self.note_memory(old)
+        self.collect_overcommits(old)
         old.kill()
-        # It comes back at its address with empty memory.
+        # Restarts at the same address with empty memory.
         self.cluster.start_endpoint(name, "p", memory="12GiB", slots=SLOTS, token_ms=TOKEN_MS,
-                                    fences=name < "e4", port=int(old.address.split(":")[1]))
+                                    checks_fencing=name < "e4", port=int(old.address.split(":")[1]))
 
-    def switch(self, process, seconds, **faults):
+    def set_temporary_faults(self, process, seconds, **faults):
         try:
-            switch_faults(process, **faults)
+            set_faults(process, **faults)
         except (OSError, urllib.error.URLError):
             return
-        off = {key: 0 for key in faults}
+        cleared = {key: 0 for key in faults}
 
-        def undo():
+        def clear():
             try:
-                switch_faults(process, **off)
+                set_faults(process, **cleared)
             except (OSError, urllib.error.URLError):
                 pass
-        self.at(time.monotonic() + seconds, undo)
+        self.schedule(time.monotonic() + seconds, clear)
 
     def cut_streams(self):
-        self.switch(self.cluster.processes[self.engine()], 2, cut_after_tokens=7, cut_streams=5)
+        self.set_temporary_faults(self.cluster.processes[self.engine()], 2, cut_after_tokens=7, cut_streams=5)
 
     def slow_engine(self):
-        self.switch(self.cluster.processes[self.engine()], 3, slow_factor=8)
+        self.set_temporary_faults(self.cluster.processes[self.engine()], 3, slow_factor=8)
 
     def lag_reports(self):
-        self.switch(self.cluster.processes[self.engine()], 4, load_lag_ms=2000)
+        self.set_temporary_faults(self.cluster.processes[self.engine()], 4, load_lag_ms=2000)
 
     def lose_orders(self):
-        self.switch(self.cluster.processes[self.engine()], 6, drop_orders=2)
+        self.set_temporary_faults(self.cluster.processes[self.engine()], 6, drop_orders=2)
 
     def late_orders(self):
-        self.switch(self.cluster.processes[self.engine()], 12, late_orders=1, late_ms=8000)
+        self.set_temporary_faults(self.cluster.processes[self.engine()], 12, late_orders=1, late_ms=8000)
 
     def platform_down(self):
-        self.switch(self.cluster.processes["platform"], self.random.uniform(1, 5), refuse=1)
+        self.set_temporary_faults(self.cluster.processes["platform"], self.random.uniform(1, 5), refuse=1)
 
     def lose_answers(self):
-        self.switch(self.cluster.processes["platform"], 2, lose_answer=3)
+        self.set_temporary_faults(self.cluster.processes["platform"], 2, lose_answer=3)
 
     def silent_watch(self):
-        self.switch(self.cluster.processes["platform"], 4, silent_watch=1)
+        self.set_temporary_faults(self.cluster.processes["platform"], 4, silent_watch=1)
 
-    def note_memory(self, process):
+    def collect_overcommits(self, process):
         try:
-            stats = fetch(process.address, "/stats")
+            stats = fetch_json(process.address, "/stats")
         except (OSError, urllib.error.URLError):
             return
-        self.over_memory += stats["overcommits"]
+        self.overcommits += stats["overcommits"]
 
 
 def scenario(cluster, seconds, seed):
@@ -200,18 +200,18 @@
     cluster.start_weight_store(load_ms=500, per_second=4)
     for i in range(ENGINES):
         cluster.start_endpoint(f"e{i}", "p", memory="12GiB", slots=SLOTS, token_ms=TOKEN_MS,
-                               fences=i < 4)
+                               checks_fencing=i < 4)
     cluster.start_service("desk1", "desk")
-    nodes = [cluster.start_node(f"n{i}", f"zone-{i % 2}", FAST) for i in range(NODES)]
-    # Replaced nodes keep their address, as behind a balancer that knows them.
+    nodes = [cluster.start_node(f"n{i}", f"zone-{i % 2}", NODE_SETTINGS) for i in range(NODES)]
+    # Restarted nodes keep their addresses, as behind a load balancer with a fixed list of nodes.
     for node in nodes:
         address, peers = node.address.split(":")[1], node.peers.split(":")[1]
         path = cluster.folder / f"{node.name}.json"
         text = path.read_text()
         path.write_text(text[:-1] + f', "listeners": {{"callers": {{"port": {address}}}, '
                         f'"peers": {{"port": {peers}}}}}}}')
-    cluster.command("apply", declarations(cluster.folder), "--daemon", nodes[0].peers, "--wait")
-    cluster.wait_served(nodes[0])
+    cluster.command("apply", write_declarations(cluster.folder), "--daemon", nodes[0].peers, "--wait")
+    cluster.wait_until_resident(nodes[0])
     time.sleep(1)
 
 
@@ -223,49 +223,49 @@
     cluster = Cluster(tempfile.mkdtemp(prefix="rudderloom-soak-"))
     try:
         start(cluster)
-        watcher = Watcher(cluster)
+        watcher = MetricsWatcher(cluster)
         watcher.start()
-        chaos = Chaos(cluster, options.seed)
-        load = cluster.load(scenario(cluster, options.seconds, options.seed))
+        injector = FaultInjector(cluster, options.seed)
+        load = cluster.start_load(scenario(cluster, options.seconds, options.seed))
         end = time.monotonic() + options.seconds
-        next_fault = time.monotonic() + FAULT_EVERY
+        next_fault = time.monotonic() + FAULT_INTERVAL_SECONDS
         while time.monotonic() < end:
             time.sleep(0.05)
-            chaos.due()
+            injector.run_due()
             if time.monotonic() >= next_fault:
-                next_fault += FAULT_EVERY
-                chaos.strike()
-        while chaos.later:
+                next_fault += FAULT_INTERVAL_SECONDS
+                injector.inject_fault()
+        while injector.scheduled:
             time.sleep(0.05)
-            chaos.due()
+            injector.run_due()
         table, _ = load.communicate(timeout=180)
         watcher.stopping.set()
         watcher.join()
         for i in range(ENGINES):
-            chaos.note_memory(cluster.processes[f"e{i}"])
-        return verdict(cluster, table, chaos, watcher)
+            injector.collect_overcommits(cluster.processes[f"e{i}"])
+        return print_verdict(cluster, table, injector, watcher)
     finally:
         cluster.stop_all()
 
 
-def verdict(cluster, table, chaos, watcher):
-    report = cluster.report()
+def print_verdict(cluster, table, injector, watcher):
+    report = cluster.load_report()
     print(table)
-    print("faults:", ", ".join(f"{name} {count}" for name, count in sorted(chaos.counts.items())))
-    broken = {"swapped or doubled answers": report["foreign"],
-              "answers cut as success": report["cut_as_success"],
-              "second runs": report["run_twice"],
-              "false `ran: no`": report["false_not_run"],
-              "answered but never run": report["answered_never_run"],
-              "loads beyond an endpoint's memory": chaos.over_memory,
-              "configuration reversals": watcher.reversals}
-    for name, count in broken.items():
+    print("faults:", ", ".join(f"{name} {count}" for name, count in sorted(injector.counts.items())))
+    violations = {"mismatched or duplicated answers": report["foreign"],
+                  "truncated answers reported as success": report["cut_as_success"],
+                  "calls run more than once": report["run_twice"],
+                  "false `ran: no`": report["false_not_run"],
+                  "calls answered but never run": report["answered_never_run"],
+                  "load orders beyond an endpoint's memory": injector.overcommits,
+                  "configuration generations going backwards": watcher.reversals}
+    for name, count in violations.items():
         print(f"{count:6d} {name}")
-    print(f"{watcher.longest_unreachable:6.1f} s longest time a model was unreachable "
-          f"(bound {UNREACHABLE_BOUND:.0f} s)")
-    good = sum(broken.values()) == 0 and watcher.longest_unreachable <= UNREACHABLE_BOUND
-    print("soak:", "sound" if good else f"BROKEN, logs in {cluster.folder}")
-    return 0 if good else 1
+    print(f"{watcher.longest_unreachable:6.1f} s longest time without an endpoint for a model "
+          f"(bound {MAX_UNREACHABLE_SECONDS:.0f} s)")
+    passed = sum(violations.values()) == 0 and watcher.longest_unreachable <= MAX_UNREACHABLE_SECONDS
+    print("soak:", "passed" if passed else f"BROKEN, logs in {cluster.folder}")
+    return 0 if passed else 1
 
 
 if __name__ == "__main__":
--- a/tools/soak.sh
+++ b/tools/soak.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Load over real processes with a seeded random fault every two seconds; prints what was broken.
+# Soak test over real processes with a seeded random fault every two seconds; prints the violations.
 # usage: tools/soak.sh [--seconds N] [--seed S]   Exit status 0 only if every count is 0.
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/tools/test.sh
+++ b/tools/test.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# Installs, builds with warnings as errors, checks format and linter, runs all tests, then the same
-# tests under AddressSanitizer with UBSan, and the concurrent ones under ThreadSanitizer.
-# Exit status 0 only when everything passed. RUDDERLOOM_QUICK=1 leaves the sanitizers out.
+# Installs dependencies, builds with warnings as errors, lints, runs all tests, then soak tests and
+# the same tests under AddressSanitizer with UBSan.
+# Exit status 0 only when everything passed. RUDDERLOOM_QUICK=1 skips everything after the plain
+# tests.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 tools/install.sh
@@ -18,9 +19,9 @@
 echo "== build"
 build build ""
 
-echo "== a deployment's configuration, without tests"
+echo "== release configuration, without tests"
 cmake -S . -B build-deploy -G Ninja -DCMAKE_BUILD_TYPE=Release -DRUDDERLOOM_BUILD_TESTS=OFF >/dev/null
-# The source of which a warning once stopped this build.
+# A warning that appears only in this configuration once broke the build of this target.
 cmake --build build-deploy -j "$jobs" --target rudderloom_base | tail -n 1
 
 echo "== format and linter"
@@ -43,18 +44,18 @@
   echo "== short soak: random faults over real processes"
   tools/soak.sh --seconds 20 --seed 1
   python3 tools/fleet_soak.py --seconds 20 --seed 1
-  echo "== two builds side by side, both orders of replacing"
+  echo "== two builds side by side, upgrade and downgrade"
   earlier=$(tools/earlier_build.sh)
   python3 tools/fleet_soak.py --seconds 15 --seed 2 --other-daemon "$earlier"
   python3 tools/fleet_soak.py --seconds 15 --seed 3 --other-daemon "$earlier" --back
-  # The bench takes one core for some minutes; its verdict is asked for at the end.
+  # The bench occupies one core for some minutes, so its result is checked at the end.
   build/bench/rudderloom_bench build/bench.json >build/bench.txt &
   bench=$!
   echo "== tests under AddressSanitizer and UBSan"
   build build-asan address,undefined "-O1 -g"
-  # Sanitized processes are slow: fewer at once, as the bench runs beside them.
+  # Sanitized processes are slow and the bench runs in parallel, so only half the jobs are used.
   ctest --test-dir build-asan -j "$((jobs / 2))" --output-on-failure "${exclude[@]}"
-  echo "== bench of the decisions"
+  echo "== benchmark of placement decisions"
   wait "$bench"
   cat build/bench.txt
   python3 tools/bounds.py --counts
